--- a/packages/node/src/carobspool_node/direct/_attempt.py
+++ b/packages/node/src/carobspool_node/direct/_attempt.py
@@ -1,4 +1,4 @@
-"""What is known of one online request while upstreams are tried."""
+"""State of one online request while it is forwarded to upstreams."""
 
 from __future__ import annotations
 
@@ -10,25 +10,26 @@
 from carobspool_node.direct._messages import CallerRequest
 
 
-class Attempt(Struct, kw_only=True):
-    """State of one request over its tries.
+class RequestState(Struct, kw_only=True):
+    """State of one request over all calls made for it.
 
     Attributes:
-        request: As the caller sent it.
-        route: Its route.
+        request: The request as the caller sent it.
+        route: The route that matches the request.
         caller: The caller's connection.
-        deadline: When the caller is to have its answer.
-        organisation: The caller's, by name; empty when it has none, ``None`` when the operator
-            declares none.
-        tried: Identities of the upstreams that it met.
-        met: Their ids with what was in flight there, for the log.
-        runs: Upstreams that ran it, or may have.
-        turned_away: Upstreams that did not run it.
-        may_have_run: Whether anything is known to have been sent that was not turned away.
-        last_event: Id of the last event that was passed on.
-        streaming: Whether the answer's head was sent.
-        returned: Whether the caller was refused before.
-        last_failure: Why the last try failed.
+        deadline: Time by which the caller must have its answer.
+        organisation: Name of the caller's organisation; empty if the caller has none, ``None`` if
+            the operator declares no organisations.
+        tried: Identities of the upstreams that were chosen for the request.
+        upstream_loads: Ids of these upstreams with the number of requests in flight at each, for
+            the log.
+        runs: Number of upstreams that ran the request or may have run it.
+        turned_away: Number of upstreams that did not run the request.
+        may_have_run: Whether the request was sent to an upstream that did not reject it.
+        last_event: Id of the last event that was forwarded to the caller.
+        streaming: Whether the head of a streamed answer was sent to the caller.
+        returned: Whether the caller has retried the request after a refusal.
+        last_failure: Why the last call failed.
     """
 
     request: CallerRequest
@@ -37,7 +38,7 @@
     deadline: Millis
     organisation: str | None = None
     tried: set[str] = field(default_factory=set)
-    met: list[str] = field(default_factory=list)
+    upstream_loads: list[str] = field(default_factory=list)
     runs: int = 0
     turned_away: int = 0
     may_have_run: bool = False
--- a/packages/node/src/carobspool_node/direct/_channel.py
+++ b/packages/node/src/carobspool_node/direct/_channel.py
@@ -1,7 +1,7 @@
-"""One HTTP/1.1 connection over h11, read event by event with a deadline.
+"""An HTTP/1.1 connection over h11 whose events are read with a deadline.
 
-While a task waits for an upstream it also watches the caller's socket, so that a caller who leaves
-is noticed at once and not only when something is written to it.
+While a task waits for an upstream it also polls the caller's socket, so that it detects immediately
+that the caller has disconnected, and not only when it next writes to that socket.
 """
 
 from __future__ import annotations
@@ -25,13 +25,13 @@
 KEEPALIVE_IDLE_S = 1
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_PROBES = 2
-"""Established connections can go silent for good without a reset. Probes after one second of
-silence, two of them, end such a connection after some three seconds; without them a request or a
-watch would hang on it until its own time limit."""
+"""An established connection can stop delivering data without a reset. Two keepalive probes, the
+first after one second of silence, end such a connection after some three seconds. Without them a
+request or a watch would hang until its own time limit."""
 
 
 class Cancellation:
-    """Cancels a call that is waiting on a socket in another task."""
+    """Cancels a call that waits on a socket in another task."""
 
     __slots__ = ("_cancelled", "_lock", "_reason", "_socket")
 
@@ -48,32 +48,32 @@
 
     @property
     def reason(self) -> str:
-        """Why it was cancelled first, for the log."""
+        """Reason of the first cancellation, for the log."""
         return self._reason
 
     def attach(self, sock: socket.socket | None) -> None:
-        """Name the socket on which the call waits now."""
+        """Set the socket on which the call waits; ``None`` when it waits on none."""
         with self._lock:
             self._socket = sock
             if self._cancelled and sock is not None:
-                _shut_down(sock)
+                _shut_down_socket(sock)
 
     def cancel(self, reason: str) -> None:
-        """Wake the call; it ends with `RunCancelledError`.
+        """Shut down the call's socket; the call ends with `RunCancelledError`.
 
         Args:
-            reason: Why, for the log.
+            reason: Reason of the cancellation, for the log.
         """
         with self._lock:
             if not self._cancelled:
                 self._reason = reason
             self._cancelled = True
             if self._socket is not None:
-                _shut_down(self._socket)
+                _shut_down_socket(self._socket)
 
 
 class CallerWatch:
-    """Tells whether the caller of a request has gone."""
+    """Detects that the caller of a request has disconnected."""
 
     __slots__ = ("_active", "_socket")
 
@@ -82,14 +82,14 @@
         self._active = True
 
     def fileno(self) -> int | None:
-        """Return the descriptor to poll, ``None`` when there is nothing more to see."""
+        """Return the descriptor to poll, ``None`` once a close can no longer be detected."""
         return self._socket.fileno() if self._active else None
 
     def check(self, flags: int) -> None:
-        """Take what poll reported.
+        """Check the socket after poll has reported ``flags``.
 
         Raises:
-            CallerGoneError: When the connection is closed.
+            CallerGoneError: The caller closed or reset the connection.
         """
         if flags & (select.POLLHUP | select.POLLERR | select.POLLNVAL):
             raise CallerGoneError("connection reset by the caller")
@@ -101,12 +101,19 @@
             raise CallerGoneError(str(error)) from error
         if not data:
             raise CallerGoneError("connection closed by the caller")
-        # A next request was sent ahead; from here on a close cannot be seen behind it.
+        # The caller has pipelined its next request; a close behind these bytes cannot be detected.
         self._active = False
 
 
 class Channel:
-    """A connected socket and its HTTP state."""
+    """A connected socket and its HTTP state.
+
+    Attributes:
+        fresh: Whether no request has been completed on the connection.
+        last_used: When the connection was opened or last released to a pool.
+        idle_limit: How long the connection may stay idle; 0 until it is known, negative if the
+            connection must not be reused.
+    """
 
     __slots__ = ("_cancellation", "_clock", "_http", "_socket", "fresh", "idle_limit", "last_used")
 
@@ -130,13 +137,13 @@
         return self._socket
 
     def replace_http(self, http: h11.Connection) -> None:
-        """Go on with another HTTP state on the same socket."""
+        """Replace the HTTP state and keep the socket."""
         self._http = http
 
-    def cancel_with(self, cancellation: Cancellation | None) -> None:
-        """Let ``cancellation`` end calls on this connection."""
+    def set_cancellation(self, cancellation: Cancellation | None) -> None:
+        """Let ``cancellation`` cancel the call on this connection; ``None`` detaches it."""
         if self._cancellation is not None:
-            # The connection may serve another call next, which the earlier one must not end.
+            # The connection may serve another call next, which this cancellation must not end.
             self._cancellation.attach(None)
         self._cancellation = cancellation
         if cancellation is not None:
@@ -146,9 +153,9 @@
         """Return the next event.
 
         Raises:
-            ConnectionBrokenError: The peer is gone or does not speak HTTP.
+            ConnectionBrokenError: The peer closed the connection or sent invalid HTTP.
             DeadlinePassedError: ``deadline`` has passed.
-            CallerGoneError: The watched caller has left.
+            CallerGoneError: The watched caller has disconnected.
             RunCancelledError: The call was cancelled.
         """
         while True:
@@ -165,7 +172,7 @@
                 raise ConnectionBrokenError(f"not proper HTTP: {error}") from error
 
     def receive(self, deadline: Millis, watch: CallerWatch | None = None) -> bytes:
-        """Return the next bytes, empty at the end of the connection."""
+        """Return the next bytes; empty if the peer has closed the connection."""
         self._wait(select.POLLIN, deadline, watch)
         try:
             data = self._socket.recv(READ_BYTES)
@@ -177,7 +184,7 @@
         return data
 
     def wait_for_input(self, deadline: Millis, watch: CallerWatch | None = None) -> None:
-        """Wait until bytes, or an end of the connection, can be read."""
+        """Wait until data or the end of the connection can be read."""
         self._wait(select.POLLIN, deadline, watch)
 
     def send(self, data: bytes, deadline: Millis, watch: CallerWatch | None = None) -> None:
@@ -195,10 +202,10 @@
             view = view[sent:]
 
     def send_or_answer(self, data: bytes, deadline: Millis, watch: CallerWatch | None) -> bool:
-        """Send all bytes unless an answer arrives first; return whether all were sent.
+        """Send all bytes unless the peer answers first; return whether all were sent.
 
-        A server may answer before it has read a long body. Waiting for room to send the rest would
-        hold the answer back.
+        A server may answer before it has read a long body. Waiting for space in the send buffer
+        would delay that answer.
         """
         view = memoryview(data)
         while view:
@@ -215,7 +222,7 @@
         return True
 
     def has_input(self) -> bool:
-        """Whether bytes or an end of the connection wait to be read."""
+        """Return whether data or the end of the connection can be read now."""
         poller = select.poll()
         poller.register(self._socket, select.POLLIN)
         return bool(poller.poll(0))
@@ -227,7 +234,7 @@
         self._socket.close()
 
     def reset(self) -> None:
-        """Close the connection so that the peer cannot take it for a proper end."""
+        """Close the connection with a reset, so that the peer does not see a regular end."""
         with contextlib.suppress(OSError):
             self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_RESET)
         self.close()
@@ -242,10 +249,10 @@
         if watched is not None and watched >= 0:
             poller.register(watched, select.POLLIN)
         while True:
-            left = deadline - self._clock.now()
-            if left <= 0:
-                raise DeadlinePassedError("time is over")
-            ready = dict(poller.poll(min(left + 1.0, 60_000.0)))
+            remaining = deadline - self._clock.now()
+            if remaining <= 0:
+                raise DeadlinePassedError("deadline passed")
+            ready = dict(poller.poll(min(remaining + 1.0, 60_000.0)))
             if watch is not None and watched is not None and watched in ready:
                 watch.check(ready.pop(watched))
                 if watch.fileno() is None:
@@ -260,10 +267,10 @@
 
 
 def connect(address: tuple[str, int], timeout: Millis, clock: Clock) -> Channel:
-    """Open a connection as a client.
+    """Connect to a server.
 
     Raises:
-        ConnectionBrokenError: It cannot be opened in time; nothing was sent.
+        ConnectionBrokenError: Connecting failed or timed out; nothing was sent.
     """
     try:
         sock = socket.create_connection(address, timeout / 1000.0)
@@ -274,7 +281,7 @@
 
 
 def prepare(sock: socket.socket) -> None:
-    """Set the options that every connection needs."""
+    """Set blocking mode, TCP_NODELAY and keepalive options on a connected socket."""
     sock.settimeout(None)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
@@ -286,6 +293,6 @@
 _LINGER_RESET = b"\x01\x00\x00\x00\x00\x00\x00\x00"
 
 
-def _shut_down(sock: socket.socket) -> None:
+def _shut_down_socket(sock: socket.socket) -> None:
     with contextlib.suppress(OSError):
         sock.shutdown(socket.SHUT_RDWR)
--- a/packages/node/src/carobspool_node/direct/_entry.py
+++ b/packages/node/src/carobspool_node/direct/_entry.py
@@ -307,7 +307,7 @@
         self._peers.announce()
 
     def _upstream_restarted(self, upstream: Upstream) -> None:
-        ended = self._connections.calls.end_earlier(upstream)
+        ended = self._connections.calls.end_calls_to_earlier_starts(upstream)
         logging.info(
             "event=upstream_restarted upstream=%s started=%d service=%s calls_ended=%d",
             upstream.instance,
--- a/packages/node/src/carobspool_node/direct/_forward.py
+++ b/packages/node/src/carobspool_node/direct/_forward.py
@@ -1,8 +1,8 @@
-"""Forwarding of online requests: attempts, and what the caller is told at the end.
+"""Forwards online requests to upstreams, with retries, and answers their callers.
 
-A caller is told 503 only when no upstream has run its request. Once a request was sent and nothing
-is known of it, the answer is 502, or 504 at the time limit; only what may be repeated is tried
-again.
+A caller receives 503 only if no upstream ran its request. If a request was sent and its outcome is
+unknown, the caller receives 502, or 504 at the time limit. Only repeatable requests are retried
+after they may have run.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
     has_returned,
     has_time_to_serve,
 )
-from carobspool_node.direct._attempt import Attempt
+from carobspool_node.direct._attempt import RequestState
 from carobspool_node.direct._caller_connection import CallerConnection
 from carobspool_node.direct._errors import (
     CallerGoneError,
@@ -49,26 +49,28 @@
     UpstreamConnections,
 )
 
-NOT_RUN_TRIES = 3
-"""Upstreams that may turn one request away unrun before its caller is told to come back. Each costs
-a round trip; when three are full, so probably are the others."""
-FIRST_TRY_SHARE = 0.45
-"""Share of the time left that the first try of a repeatable request may take. Plain calls take
-20 to 110 ms of 600 and more; a server that has stopped leaves time for a second one."""
-STREAM_SILENCE: Millis = 900.0
-"""Pause after which a resumable stream goes on elsewhere. Events come every 30 ms; callers give up
-after two seconds."""
-DEADLINE_STATUS = HTTPStatus.GATEWAY_TIMEOUT
-"""What an upstream answers when the deadline that it was given is over; no fault of its own."""
-HANG_TIME: Millis = 1_000.0
-"""A caller that leaves after this time without a first byte shows that the upstream hangs: a queue
-adds 270 ms at most and a first event takes some 50 ms."""
-MIN_TRY_TIME: Millis = 20.0
-"""A try with less time left than this is not worth sending."""
+MAX_REJECTIONS = 3
+"""Upstreams that may reject one request without running it before its caller receives 503. Each
+rejection costs a round trip; if three upstreams are full, the others probably are as well."""
+CALL_TIME_FRACTION = 0.45
+"""Fraction of the remaining time that one call for a repeatable request may take while another call
+is still allowed. Plain calls take 20 to 110 ms of a limit of 600 ms or more, so the rest leaves
+time for a second call if the server has stopped."""
+STREAM_IDLE_TIMEOUT: Millis = 900.0
+"""Time without data after which a resumable stream continues at another upstream. Events arrive
+every 30 ms; callers give up after two seconds."""
+DEADLINE_EXCEEDED_STATUS = HTTPStatus.GATEWAY_TIMEOUT
+"""Status with which an upstream reports that the request's deadline has passed. It does not count
+as a failure of the upstream."""
+HANG_THRESHOLD: Millis = 1_000.0
+"""If a caller disconnects after waiting this long for a first byte, the upstream counts as hanging:
+queueing adds at most 270 ms and a first event takes some 50 ms."""
+MIN_CALL_TIME: Millis = 20.0
+"""A call is not sent if less time than this is left."""
 
 
 class _StreamBrokenError(Exception):
-    """A stream ended before its last piece."""
+    """The upstream's event stream ended early or skipped an event."""
 
 
 class Forwarder:
@@ -77,11 +79,11 @@
     Args:
         clock: The process's clock.
         names: Header names of the deployment.
-        loads: Requests in flight.
-        connections: Kept connections.
+        loads: Requests in flight at each upstream.
+        connections: Pool of connections to upstreams.
         reach: Returns the upstreams of a service.
         telemetry: Logs and metrics.
-        time_left: Returns the time until this process exits, ``None`` when it is not leaving.
+        time_left: Returns the time until this process exits, ``None`` if it is not shutting down.
     """
 
     def __init__(
@@ -111,20 +113,20 @@
         *,
         organisation: str | None = None,
     ) -> bool:
-        """Serve one request to its end; return whether an upstream has run it, or may have.
+        """Serve one request to its end; return whether an upstream ran it or may have run it.
 
         Args:
             request: The request.
-            route: Its route.
+            route: The route that matches the request.
             caller: The caller's connection.
-            organisation: The caller's, by name; empty when it has none, ``None`` when the operator
-                declares none.
+            organisation: Name of the caller's organisation; empty if the caller has none, ``None``
+                if the operator declares no organisations.
 
         Raises:
-            CallerGoneError: The caller left; what ran for it was cancelled.
+            CallerGoneError: The caller disconnected; the call made for it was cancelled.
         """
         limit = request.time_limit(self._names.deadline, route.timeout)
-        attempt = Attempt(
+        state = RequestState(
             request=request,
             route=route,
             caller=caller,
@@ -133,245 +135,250 @@
             returned=has_returned(deadline=limit, timeout=route.timeout),
         )
         try:
-            self._try_upstreams(attempt)
+            self._try_upstreams(state)
         except DeadlinePassedError:
-            self._endings.time_is_over(attempt)
+            self._endings.end_at_deadline(state)
         except CallerGoneError:
-            self._endings.note(attempt, "caller_gone", 0)
+            self._endings.record(state, "caller_gone", 0)
             raise
-        return attempt.may_have_run or attempt.runs > 0
+        return state.may_have_run or state.runs > 0
 
-    def _has_time(self, attempt: Attempt) -> bool:
+    def _has_time_before_exit(self, state: RequestState) -> bool:
         time_left = self._time_left()
         if time_left is None:
             return True
-        service = attempt.route.service_for(attempt.request.request_id)
+        service = state.route.service_for(state.request.request_id)
         mean = self._loads.mean_duration(service)
         if has_time_to_serve(time_left, mean):
             return True
-        attempt.last_failure = "this entry is leaving"
+        state.last_failure = "this entry is leaving"
         logging.info(
             "event=leaving_refused request=%s service=%s time_left_ms=%.0f mean_ms=%.0f",
-            attempt.request.request_id,
+            state.request.request_id,
             service,
             time_left,
             mean,
         )
         return False
 
-    def _can_end(self, attempt: Attempt, service: str) -> bool:
-        left = attempt.deadline - self._clock.now()
+    def _can_finish_in_time(self, state: RequestState, service: str) -> bool:
+        left = state.deadline - self._clock.now()
         mean = self._loads.mean_duration(service)
         if can_end(time_left=left, mean_duration=mean):
             return True
-        attempt.last_failure = "it cannot end in the time that is left"
+        state.last_failure = "it cannot end in the time that is left"
         logging.info(
             "event=no_time request=%s service=%s left_ms=%.0f mean_ms=%.0f",
-            attempt.request.request_id,
+            state.request.request_id,
             service,
             left,
             mean,
         )
         return False
 
-    def _try_upstreams(self, attempt: Attempt) -> None:
-        service = attempt.route.service_for(attempt.request.request_id)
+    def _try_upstreams(self, state: RequestState) -> None:
+        service = state.route.service_for(state.request.request_id)
         while True:
             reach = self._reach(service)
-            if attempt.deadline - self._clock.now() < MIN_TRY_TIME:
-                raise DeadlinePassedError("no time for another try")
-            if not attempt.may_have_run and not self._has_time(attempt):
-                self._endings.refuse(attempt, LEAVING_RETRY_AFTER)
+            if state.deadline - self._clock.now() < MIN_CALL_TIME:
+                raise DeadlinePassedError("not enough time for another call")
+            if not state.may_have_run and not self._has_time_before_exit(state):
+                self._endings.refuse(state, LEAVING_RETRY_AFTER)
                 return
-            if not attempt.may_have_run and not self._can_end(attempt, service):
-                self._endings.give_up(attempt, full=True)
+            if not state.may_have_run and not self._can_finish_in_time(state, service):
+                self._endings.give_up(state, full=True)
                 return
             placement = self._loads.place_online(
                 reach.near,
-                target_latency=attempt.route.target_latency,
-                returned=attempt.returned or attempt.streaming,
-                excluded=frozenset(attempt.tried),
+                target_latency=state.route.target_latency,
+                returned=state.returned or state.streaming,
+                excluded=frozenset(state.tried),
                 far=reach.far,
             )
             if placement is None:
                 logging.info(
                     "event=no_place request=%s service=%s upstreams=%d returned=%s %s",
-                    attempt.request.request_id,
+                    state.request.request_id,
                     service,
                     len(reach.near) + len(reach.far),
-                    attempt.returned,
+                    state.returned,
                     self._loads.describe(reach.near),
                 )
-                self._endings.give_up(attempt, full=bool(reach.near))
+                self._endings.give_up(state, full=bool(reach.near))
                 return
-            attempt.tried.add(placement.upstream.identity)
-            attempt.met.append(f"{placement.upstream.instance}:{placement.load.total}")
-            done = False
+            state.tried.add(placement.upstream.identity)
+            state.upstream_loads.append(f"{placement.upstream.instance}:{placement.load.total}")
+            answered = False
             try:
-                done = self._try(attempt, placement.upstream)
+                answered = self._call_upstream(state, placement.upstream)
             finally:
-                self._loads.end_online(placement, completed=done)
-            if done:
+                self._loads.end_online(placement, completed=answered)
+            if answered:
                 return
-            if attempt.runs >= attempt.route.max_attempts or not self._may_go_on(attempt):
-                self._endings.give_up(attempt, full=True)
+            if state.runs >= state.route.max_attempts or not self._may_retry(state):
+                self._endings.give_up(state, full=True)
                 return
 
-    def _may_go_on(self, attempt: Attempt) -> bool:
-        if attempt.turned_away >= NOT_RUN_TRIES:
+    def _may_retry(self, state: RequestState) -> bool:
+        if state.turned_away >= MAX_REJECTIONS:
             return False
-        return attempt.route.may_repeat or not attempt.may_have_run
+        return state.route.may_repeat or not state.may_have_run
 
-    def _try(self, attempt: Attempt, upstream: Upstream) -> bool:
-        """Make one call; return whether the caller has its answer."""
-        call = UpstreamCall(self._connections, upstream, self._names, watch=attempt.caller.watch)
+    def _call_upstream(self, state: RequestState, upstream: Upstream) -> bool:
+        """Call one upstream; return whether the caller has received its answer."""
+        call = UpstreamCall(self._connections, upstream, self._names, watch=state.caller.watch)
         started = self._clock.now()
         try:
             head = call.start(
-                upstream_request(attempt, upstream, self._names, now=started),
-                self._try_deadline(attempt),
-                quiet_at=self._quiet_at(attempt, upstream, started),
+                upstream_request(state, upstream, self._names, now=started),
+                self._call_deadline(state),
+                idle_deadline=self._idle_deadline(state, upstream, started),
             )
             self._loads.heard(upstream)
-            return self._take_answer(attempt, upstream, call, head)
+            return self._relay_answer(state, upstream, call, head)
         except CallFailedError as error:
-            self._failed(attempt, upstream, str(error), sent=error.sent)
+            self._record_failure(state, upstream, str(error), sent=error.sent)
             return False
         except _StreamBrokenError as error:
-            self._failed(attempt, upstream, str(error), sent=True)
+            self._record_failure(state, upstream, str(error), sent=True)
             return False
         except DeadlinePassedError:
-            attempt.may_have_run = True
-            attempt.runs += 1
-            if self._clock.now() >= attempt.deadline - MIN_TRY_TIME:
+            state.may_have_run = True
+            state.runs += 1
+            if self._clock.now() >= state.deadline - MIN_CALL_TIME:
                 raise
             self._loads.suspect(upstream)
-            attempt.last_failure = "no answer in the time of one try"
+            state.last_failure = "no answer in the time of one try"
             return False
         except RunCancelledError as error:
-            self._failed(attempt, upstream, str(error), sent=True)
+            self._record_failure(state, upstream, str(error), sent=True)
             return False
         except CallerGoneError:
             waited = self._clock.now() - started
             silent = self._loads.heard_at(upstream) <= started
-            if not attempt.streaming and silent and waited > HANG_TIME:
+            if not state.streaming and silent and waited > HANG_THRESHOLD:
                 self._loads.suspect(upstream)
             raise
         finally:
             call.close()
 
-    def _failed(self, attempt: Attempt, upstream: Upstream, reason: str, *, sent: bool) -> None:
+    def _record_failure(
+        self, state: RequestState, upstream: Upstream, reason: str, *, sent: bool
+    ) -> None:
         self._loads.suspect(upstream)
-        attempt.last_failure = reason
+        state.last_failure = reason
         self._telemetry.count("upstream_failures", service=upstream.service)
         logging.info(
             "event=try_failed request=%s upstream=%s sent=%s reason=%r",
-            attempt.request.request_id,
+            state.request.request_id,
             upstream.instance,
             sent,
             reason,
         )
         if sent:
-            attempt.may_have_run = True
-            attempt.runs += 1
+            state.may_have_run = True
+            state.runs += 1
         else:
-            attempt.turned_away += 1
+            state.turned_away += 1
 
-    def _try_deadline(self, attempt: Attempt) -> Millis:
-        left = attempt.deadline - self._clock.now()
-        more_tries = attempt.runs + 1 < attempt.route.max_attempts
-        if attempt.route.kind is RouteKind.SAFE and more_tries:
-            return attempt.deadline - left * (1.0 - FIRST_TRY_SHARE)
-        return attempt.deadline
+    def _call_deadline(self, state: RequestState) -> Millis:
+        left = state.deadline - self._clock.now()
+        may_call_again = state.runs + 1 < state.route.max_attempts
+        if state.route.kind is RouteKind.SAFE and may_call_again:
+            return state.deadline - left * (1.0 - CALL_TIME_FRACTION)
+        return state.deadline
 
-    def _quiet_at(
-        self, attempt: Attempt, upstream: Upstream, started: Millis
+    def _idle_deadline(
+        self, state: RequestState, upstream: Upstream, started: Millis
     ) -> Callable[[], Millis] | None:
-        """Return when a resumable stream that has not begun goes on elsewhere, if it may."""
-        if not attempt.route.resumable or attempt.runs + 1 >= attempt.route.max_attempts:
+        """Return the idle deadline of a stream that another upstream may resume, else ``None``."""
+        if not state.route.resumable or state.runs + 1 >= state.route.max_attempts:
             return None
         mean = self._loads.mean_duration(upstream.service)
 
-        def quiet_at() -> Millis:
+        def idle_deadline() -> Millis:
             return given_up_at(
                 started=started,
                 heard=self._loads.heard_at(upstream),
-                silence=STREAM_SILENCE,
+                silence=STREAM_IDLE_TIMEOUT,
                 mean_duration=mean,
             )
 
-        return quiet_at
+        return idle_deadline
 
-    def _take_answer(
-        self, attempt: Attempt, upstream: Upstream, call: UpstreamCall, head: UpstreamHead
+    def _relay_answer(
+        self, state: RequestState, upstream: Upstream, call: UpstreamCall, head: UpstreamHead
     ) -> bool:
         if head.header(self._names.not_run) is not None or head.status == 421:
-            call.read_body(attempt.deadline)
-            attempt.turned_away += 1
-            attempt.last_failure = f"turned away with {head.status}"
+            call.read_body(state.deadline)
+            state.turned_away += 1
+            state.last_failure = f"turned away with {head.status}"
             return False
         if head.header(self._names.signature) is None:
             raise CallFailedError("an answer without the server's signature", sent=True)
         if head.header(b"content-encoding") is not None:
             raise CallFailedError("an answer with a foreign encoding", sent=True)
-        if head.succeeded and attempt.route.kind is RouteKind.STREAM:
-            self._pass_stream(attempt, upstream, call, head)
+        if head.succeeded and state.route.kind is RouteKind.STREAM:
+            self._relay_stream(state, upstream, call, head)
             return True
-        body = call.read_body(self._try_deadline(attempt))
-        attempt.runs += 1
-        attempt.may_have_run = True
-        if head.status >= HTTPStatus.INTERNAL_SERVER_ERROR and head.status != DEADLINE_STATUS:
+        body = call.read_body(self._call_deadline(state))
+        state.runs += 1
+        state.may_have_run = True
+        if (
+            head.status >= HTTPStatus.INTERNAL_SERVER_ERROR
+            and head.status != DEADLINE_EXCEEDED_STATUS
+        ):
             self._loads.suspect(upstream)
-        if self._is_worth_another_try(attempt, head):
-            attempt.last_failure = f"status {head.status}"
+        if self._should_retry_answer(state, head):
+            state.last_failure = f"status {head.status}"
             return False
-        if attempt.streaming:
+        if state.streaming:
             raise _StreamBrokenError(f"status {head.status} instead of the stream's rest")
-        # The connection is given back first: a caller's next request comes within a millisecond of
-        # the answer, and would open a new one.
+        # Returns the connection to the pool before answering: the caller's next request arrives
+        # within a millisecond of the answer and would otherwise open a new connection.
         call.close()
-        attempt.caller.answer(head.status, _answer_headers(head), body, reason=head.reason)
-        self._endings.note(attempt, "answered", head.status)
+        state.caller.answer(head.status, _answer_headers(head), body, reason=head.reason)
+        self._endings.record(state, "answered", head.status)
         return True
 
-    def _is_worth_another_try(self, attempt: Attempt, head: UpstreamHead) -> bool:
-        if head.status < 500 or attempt.runs >= attempt.route.max_attempts:
+    def _should_retry_answer(self, state: RequestState, head: UpstreamHead) -> bool:
+        if head.status < 500 or state.runs >= state.route.max_attempts:
             return False
-        return attempt.route.kind is RouteKind.SAFE
+        return state.route.kind is RouteKind.SAFE
 
-    def _pass_stream(
-        self, attempt: Attempt, upstream: Upstream, call: UpstreamCall, head: UpstreamHead
+    def _relay_stream(
+        self, state: RequestState, upstream: Upstream, call: UpstreamCall, head: UpstreamHead
     ) -> None:
         splitter = EventSplitter()
-        silence = STREAM_SILENCE if attempt.route.resumable else None
-        for data in call.body(attempt.deadline, silence=silence):
+        silence = STREAM_IDLE_TIMEOUT if state.route.resumable else None
+        for data in call.body(state.deadline, silence=silence):
             self._loads.heard(upstream)
             pieces = []
             for event in splitter.feed(data):
-                if attempt.last_event is not None and event.event_id is not None:
-                    if event.event_id <= attempt.last_event:
+                if state.last_event is not None and event.event_id is not None:
+                    if event.event_id <= state.last_event:
                         continue
-                    if event.event_id != attempt.last_event + 1:
+                    if event.event_id != state.last_event + 1:
                         raise _StreamBrokenError("an event is missing")
                 pieces.append(event.raw)
                 if event.event_id is not None:
-                    attempt.last_event = event.event_id
+                    state.last_event = event.event_id
             if not pieces:
                 continue
-            if not attempt.streaming:
-                attempt.streaming = True
-                attempt.caller.start_stream(head.status, _answer_headers(head), head.reason)
-                self._telemetry.time("first_event", self._clock.now() - attempt.request.arrived)
-            attempt.caller.send_piece(b"".join(pieces))
+            if not state.streaming:
+                state.streaming = True
+                state.caller.start_stream(head.status, _answer_headers(head), head.reason)
+                self._telemetry.time("first_event", self._clock.now() - state.request.arrived)
+            state.caller.send_piece(b"".join(pieces))
         if splitter.incomplete:
             raise _StreamBrokenError("the stream ends in the middle of an event")
-        if not attempt.streaming:
-            attempt.streaming = True
-            attempt.caller.start_stream(head.status, _answer_headers(head), head.reason)
-        attempt.runs += 1
+        if not state.streaming:
+            state.streaming = True
+            state.caller.start_stream(head.status, _answer_headers(head), head.reason)
+        state.runs += 1
         call.close()
-        attempt.caller.finish_stream()
-        self._endings.note(attempt, "streamed", head.status)
+        state.caller.finish_stream()
+        self._endings.record(state, "streamed", head.status)
 
 
 def _answer_headers(head: UpstreamHead) -> Headers:
--- a/packages/node/src/carobspool_node/direct/_forwarded_request.py
+++ b/packages/node/src/carobspool_node/direct/_forwarded_request.py
@@ -1,10 +1,10 @@
-"""A caller's request as it is sent to an upstream."""
+"""Builds the request to an upstream from a caller's request."""
 
 from __future__ import annotations
 
 from carobspool_core import Millis
 from carobspool_core.direct import Upstream
-from carobspool_node.direct._attempt import Attempt
+from carobspool_node.direct._attempt import RequestState
 from carobspool_node.direct._messages import HeaderNames, end_to_end, with_organisation
 from carobspool_node.direct._upstream_calls import UpstreamRequest
 
@@ -12,21 +12,24 @@
 
 
 def upstream_request(
-    attempt: Attempt, upstream: Upstream, names: HeaderNames, *, now: Millis
+    state: RequestState, upstream: Upstream, names: HeaderNames, *, now: Millis
 ) -> UpstreamRequest:
-    """Return what an upstream is sent: for it alone, with the time that is left, from the event on
-    that the caller has not seen."""
-    request = attempt.request
+    """Return the request to send to one upstream.
+
+    Its headers name the instance that may run it, the time left, and the last event that the caller
+    has received.
+    """
+    request = state.request
     headers = end_to_end(
         request.headers, without=(names.deadline, names.expect_instance, b"content-length")
     )
-    left = max(1, int(attempt.deadline - now))
-    headers = with_organisation(headers, names, attempt.organisation)
+    left = max(1, int(state.deadline - now))
+    headers = with_organisation(headers, names, state.organisation)
     headers.append((names.deadline, str(left).encode()))
     headers.append((names.expect_instance, upstream.instance.encode()))
-    if attempt.last_event is not None:
+    if state.last_event is not None:
         headers = [(key, value) for key, value in headers if key.lower() != names.last_event]
-        headers.append((names.last_event, str(attempt.last_event).encode()))
+        headers.append((names.last_event, str(state.last_event).encode()))
     if request.body or request.method not in BODILESS:
         headers.append((b"Content-Length", str(len(request.body)).encode()))
     return UpstreamRequest(
--- a/packages/node/src/carobspool_node/direct/_open_calls.py
+++ b/packages/node/src/carobspool_node/direct/_open_calls.py
@@ -1,12 +1,13 @@
-"""Calls that wait for an upstream, ended when the upstream starts again under its id.
+"""Tracks calls in progress, and ends them when their upstream restarts under the same id.
 
-Failure: an upstream is cut off with calls on its connections, crashes unseen and starts again. No
-reset arrives, so its callers would wait out their time limit and batch items their silence, for a
-process that is gone. The new start's registration shows that nothing will come, and ends them.
+An upstream can lose its network with calls in progress, crash and restart. No reset arrives, so
+online requests would wait until their time limit, and batch items until their silence limit, for a
+process that no longer exists. The registration of the new start shows that no answer will come, and
+these calls are ended.
 
-A registration is known some 0.3 s after the start it tells of. What was sent in between on a new
-connection has reached the new start, and must not be cut: a call on which something has just
-arrived is left alone until it falls silent, for a process that is gone sends nothing.
+A registration is known some 0.3 s after the start that it describes. Calls sent in the meantime on
+a new connection have reached the new start and must not be ended. Therefore a call that has just
+received data continues until it is silent: a process that has ended sends nothing.
 """
 
 from __future__ import annotations
@@ -19,28 +20,28 @@
 from carobspool_core.direct import Upstream
 from carobspool_node.direct._channel import Cancellation
 
-SILENCE: Millis = 300.0
-"""Pause after which a call to an earlier start is taken for dead: ten events of a stream."""
+SILENCE_LIMIT: Millis = 300.0
+"""Time without data after which a call to an earlier start is ended: ten events of a stream."""
 
 
 class OpenCall(Struct, eq=False):
-    """A call under way.
+    """A call in progress.
 
     Attributes:
-        upstream: Whom it was sent to.
-        cancellation: Ends it.
-        heard: When something last arrived, ``None`` before that.
-        outlived: Whether it was ended because its upstream has started again.
+        upstream: The upstream that was called.
+        cancellation: Cancels the call.
+        last_received: When data last arrived, ``None`` if none has arrived.
+        upstream_restarted: Whether the call was ended because its upstream restarted.
     """
 
     upstream: Upstream
     cancellation: Cancellation = field(default_factory=Cancellation)
-    heard: Millis | None = None
-    outlived: bool = False
+    last_received: Millis | None = None
+    upstream_restarted: bool = False
 
 
 class OpenCalls:
-    """The calls of one process that are under way."""
+    """The calls in progress of one process."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -48,36 +49,40 @@
         self._calls: set[OpenCall] = set()
 
     def add(self, call: OpenCall) -> None:
-        """Take a call that begins."""
+        """Add a call that starts."""
         with self._lock:
             self._calls.add(call)
 
     def remove(self, call: OpenCall) -> None:
-        """Drop a call that has ended."""
+        """Remove a call that has ended."""
         with self._lock:
             self._calls.discard(call)
 
-    def end_earlier(self, upstream: Upstream) -> int:
-        """End the silent calls to earlier starts of an upstream, now and until none is left.
+    def end_calls_to_earlier_starts(self, upstream: Upstream) -> int:
+        """End the silent calls to earlier starts of an upstream.
+
+        Calls that still receive data are checked again after `SILENCE_LIMIT`, until none is left.
 
         Args:
-            upstream: Its new start.
+            upstream: The new start of the upstream.
 
         Returns:
-            How many were ended now.
+            Number of calls that were ended immediately.
         """
         now = self._clock.now()
         with self._lock:
             earlier = [call for call in self._calls if upstream.replaces(call.upstream)]
         ended = 0
         for call in earlier:
-            if call.heard is not None and now - call.heard < SILENCE:
+            if call.last_received is not None and now - call.last_received < SILENCE_LIMIT:
                 continue
-            call.outlived = True
+            call.upstream_restarted = True
             call.cancellation.cancel("the upstream has started again")
             ended += 1
         if ended < len(earlier):
-            again = threading.Timer(SILENCE / 1000.0, self.end_earlier, (upstream,))
-            again.daemon = True
-            again.start()
+            timer = threading.Timer(
+                SILENCE_LIMIT / 1000.0, self.end_calls_to_earlier_starts, (upstream,)
+            )
+            timer.daemon = True
+            timer.start()
         return ended
--- a/packages/node/src/carobspool_node/direct/_request_endings.py
+++ b/packages/node/src/carobspool_node/direct/_request_endings.py
@@ -1,4 +1,4 @@
-"""What the caller of an online request is told when no upstream has answered it."""
+"""Final answers to online requests that no upstream has answered, and the log of every outcome."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 from carobspool_core import Clock, Millis
 from carobspool_core.direct import return_after
-from carobspool_node.direct._attempt import Attempt
+from carobspool_node.direct._attempt import RequestState
 from carobspool_node.direct._failure_answer import failure_answer
 from carobspool_node.direct._telemetry import Telemetry
 
 NO_UPSTREAM_RETRY_AFTER: Millis = 1_000.0
-"""Time after which a restarted server is listed again."""
+"""A restarted server is registered again after about this time."""
 
 
 class RequestEndings:
-    """Ends requests, and logs and counts every end.
+    """Ends requests, and logs and counts the outcome of every request.
 
     Args:
         clock: The process's clock.
@@ -28,63 +28,63 @@
         self._clock = clock
         self._telemetry = telemetry
 
-    def give_up(self, attempt: Attempt, *, full: bool) -> None:
-        """End a request that is tried no more.
+    def give_up(self, state: RequestState, *, full: bool) -> None:
+        """End a request for which no further upstream is called.
 
         Args:
-            attempt: The request.
-            full: Whether there are upstreams, so that coming back soon is of use.
+            state: The request.
+            full: Whether the service has upstreams, so that a retry soon may succeed.
         """
-        if attempt.streaming:
-            self.note(attempt, "broken_off", 0)
-            attempt.caller.abort()
+        if state.streaming:
+            self.record(state, "broken_off", 0)
+            state.caller.abort()
             return
-        if attempt.may_have_run:
-            self._fail(attempt, 502, "unknown", None)
+        if state.may_have_run:
+            self._fail(state, 502, "unknown", None)
             return
-        self.refuse(attempt, self._return_after(attempt) if full else NO_UPSTREAM_RETRY_AFTER)
+        self.refuse(state, self._retry_after(state) if full else NO_UPSTREAM_RETRY_AFTER)
 
-    def time_is_over(self, attempt: Attempt) -> None:
+    def end_at_deadline(self, state: RequestState) -> None:
         """End a request whose time limit has passed."""
-        if attempt.streaming:
-            self.note(attempt, "time_over", 0)
-            attempt.caller.abort()
+        if state.streaming:
+            self.record(state, "time_over", 0)
+            state.caller.abort()
             return
-        if attempt.may_have_run:
-            self._fail(attempt, 504, "unknown", None)
+        if state.may_have_run:
+            self._fail(state, 504, "unknown", None)
             return
-        self.refuse(attempt, self._return_after(attempt))
+        self.refuse(state, self._retry_after(state))
 
-    def refuse(self, attempt: Attempt, retry_after: Millis) -> None:
-        """Tell the caller that its request has not run, and when to come back."""
-        self._fail(attempt, 503, "not_run", retry_after)
+    def refuse(self, state: RequestState, retry_after: Millis) -> None:
+        """Answer 503: the request has not run, and the caller may retry after ``retry_after``."""
+        self._fail(state, 503, "not_run", retry_after)
 
-    def note(self, attempt: Attempt, outcome: str, status: int) -> None:
-        """Log and count the end of a request; ``status`` is 0 for an answer that was broken off."""
-        took = self._clock.now() - attempt.request.arrived
-        self._telemetry.count("requests", route=attempt.route.kind.value, outcome=outcome)
+    def record(self, state: RequestState, outcome: str, status: int) -> None:
+        """Log and count a request's outcome; ``status`` is 0 if its answer was not completed."""
+        took = self._clock.now() - state.request.arrived
+        self._telemetry.count("requests", route=state.route.kind.value, outcome=outcome)
         self._telemetry.time("request", took)
         logging.info(
             "event=request request=%s route=%s outcome=%s status=%d runs=%d turned_away=%d"
             " upstreams=%s took_ms=%.0f failure=%r",
-            attempt.request.request_id,
-            attempt.route.name,
+            state.request.request_id,
+            state.route.name,
             outcome,
             status,
-            attempt.runs,
-            attempt.turned_away,
-            ",".join(attempt.met),
+            state.runs,
+            state.turned_away,
+            ",".join(state.upstream_loads),
             took,
-            attempt.last_failure,
+            state.last_failure,
         )
 
-    def _return_after(self, attempt: Attempt) -> Millis:
-        return return_after(random.random(), attempt.deadline - self._clock.now())
+    def _retry_after(self, state: RequestState) -> Millis:
+        return return_after(random.random(), state.deadline - self._clock.now())
 
     def _fail(
-        self, attempt: Attempt, status: int, outcome: str, retry_after: Millis | None
+        self, state: RequestState, status: int, outcome: str, retry_after: Millis | None
     ) -> None:
-        self.note(attempt, outcome, status)
-        message = attempt.last_failure or "no upstream is free"
+        self.record(state, outcome, status)
+        message = state.last_failure or "no upstream is free"
         headers, body = failure_answer(message, outcome, retry_after)
-        attempt.caller.answer(status, headers, body)
+        state.caller.answer(status, headers, body)
--- a/packages/node/src/carobspool_node/direct/_upstream_calls.py
+++ b/packages/node/src/carobspool_node/direct/_upstream_calls.py
@@ -1,4 +1,4 @@
-"""Calls to upstreams: kept connections, one request on each, and what is known of its ending."""
+"""Calls to upstreams over pooled connections, one request at a time on each connection."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
 from carobspool_node.direct._open_calls import OpenCall, OpenCalls
 
 CONNECT_TIMEOUT: Millis = 300.0
-"""Opening takes 1 ms and a round trip of at most 3 ms; a machine without power answers nothing.
-A dropped opening packet is repeated after a second: another upstream is reached sooner."""
+"""Connecting takes 1 ms plus a round trip of at most 3 ms; a host without power does not respond.
+A lost SYN is retransmitted after a second, so calling another upstream is faster than waiting."""
 DEFAULT_IDLE_LIMIT: Millis = 1_000.0
-"""How long a connection is kept whose upstream names no limit."""
-IDLE_SHARE = 0.7
-"""Share of the limit named by the upstream; the rest covers the way of the next request."""
-KEPT_PER_UPSTREAM = 24
-"""Three times the slots of an engine; more connections than that are never in use at once."""
+"""How long a connection stays in the pool if its upstream sends no keep-alive timeout."""
+IDLE_LIMIT_FRACTION = 0.7
+"""Fraction of the upstream's keep-alive timeout; the rest covers the next request's transit."""
+MAX_IDLE_PER_UPSTREAM = 24
+"""Three times the slots of an engine; more connections to one upstream are never in use at once."""
 MAX_STRAY_ANSWERS = 4
-_OUTLIVED = "the upstream has started again"
+_UPSTREAM_RESTARTED = "the upstream has started again"
 
 
 class UpstreamRequest(Struct, frozen=True, kw_only=True):
-    """What is sent to an upstream."""
+    """A request as it is sent to an upstream."""
 
     method: bytes
     target: bytes
@@ -43,7 +43,7 @@
 
 
 class CallFailedError(Exception):
-    """A call brought no answer.
+    """A call returned no valid answer.
 
     Attributes:
         sent: Whether the upstream may have run the request.
@@ -55,10 +55,10 @@
 
 
 class UpstreamConnections:
-    """Connections to upstreams that are kept between requests, and the calls on them.
+    """Pool of idle connections to upstreams, and the calls in progress.
 
-    Kept by the upstream's identity: a late answer of an earlier start belongs to no request of a
-    new one.
+    Connections are keyed by the upstream's identity, which changes at each start: a late answer
+    from an earlier start never matches a request to the new one.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -74,19 +74,19 @@
 
     @property
     def calls(self) -> OpenCalls:
-        """The calls under way."""
+        """The calls in progress."""
         return self._calls
 
     def acquire(self, upstream: Upstream) -> Channel:
-        """Return a kept or a new connection.
+        """Return an idle connection from the pool, or a new one.
 
         Raises:
-            CallFailedError: It cannot be opened; nothing was sent.
+            CallFailedError: No connection can be opened; nothing was sent.
         """
         while True:
             with self._lock:
-                kept = self._idle.get(upstream.identity)
-                channel = kept.pop() if kept else None
+                idle = self._idle.get(upstream.identity)
+                channel = idle.pop() if idle else None
             if channel is None:
                 return self._open(upstream)
             if self._is_usable(channel):
@@ -94,8 +94,8 @@
             channel.close()
 
     def release(self, upstream: Upstream, channel: Channel) -> None:
-        """Keep a connection whose answer was read to its end, or close it."""
-        channel.cancel_with(None)
+        """Return a connection to the pool if it can be reused, else close it."""
+        channel.set_cancellation(None)
         reusable = channel.http.our_state is h11.DONE and channel.http.their_state is h11.DONE
         if not reusable or channel.http.trailing_data[0] or channel.has_input():
             channel.close()
@@ -104,24 +104,24 @@
         channel.fresh = False
         channel.last_used = self._clock.now()
         with self._lock:
-            kept = self._idle.setdefault(upstream.identity, [])
-            if len(kept) < KEPT_PER_UPSTREAM:
-                kept.append(channel)
+            idle = self._idle.setdefault(upstream.identity, [])
+            if len(idle) < MAX_IDLE_PER_UPSTREAM:
+                idle.append(channel)
                 return
         channel.close()
 
     def forget(self, identities: set[str]) -> None:
-        """Close the connections to all but ``identities``, and those idle for too long."""
+        """Close idle connections to upstreams not in ``identities``, and expired ones."""
         dropped: list[Channel] = []
         with self._lock:
             for identity in list(self._idle):
                 if identity not in identities:
                     dropped.extend(self._idle.pop(identity))
                     continue
-                kept = self._idle[identity]
-                old = [each for each in kept if not self._is_recent(each)]
-                self._idle[identity] = [each for each in kept if each not in old]
-                dropped.extend(old)
+                idle = self._idle[identity]
+                expired = [each for each in idle if not self._is_recent(each)]
+                self._idle[identity] = [each for each in idle if each not in expired]
+                dropped.extend(expired)
         for channel in dropped:
             channel.close()
 
@@ -136,7 +136,7 @@
         return self._clock.now() - channel.last_used < channel.idle_limit
 
     def _is_usable(self, channel: Channel) -> bool:
-        # Bytes on an idle connection belong to no request; an end means that it was closed.
+        # Input on an idle connection is either data that belongs to no request or a close.
         return self._is_recent(channel) and not channel.has_input()
 
 
@@ -144,11 +144,11 @@
     """One request on one connection.
 
     Args:
-        connections: Where the connection comes from and goes back to.
-        upstream: The upstream.
+        connections: Pool that provides the connection.
+        upstream: The upstream to call.
         names: Header names of the deployment.
-        cancellation: Lets another task end the call.
-        watch: The caller, whose leaving ends the call.
+        cancellation: Lets another task cancel the call.
+        watch: Detects that the caller has disconnected, which ends the call.
     """
 
     def __init__(
@@ -164,7 +164,7 @@
         self._upstream = upstream
         self._clock = connections.clock
         self._names = names
-        self._open = OpenCall(upstream, cancellation or Cancellation())
+        self._open_call = OpenCall(upstream, cancellation or Cancellation())
         self._watch = watch
         self._channel: Channel | None = None
         self._complete = False
@@ -174,66 +174,71 @@
         request: UpstreamRequest,
         deadline: Millis,
         *,
-        quiet_at: Callable[[], Millis] | None = None,
+        idle_deadline: Callable[[], Millis] | None = None,
     ) -> UpstreamHead:
         """Send the request and return the head of its answer.
 
         Args:
-            request: What to send.
-            deadline: When the call has to end.
-            quiet_at: Returns when the upstream will have been silent for too long, which moves on
-                while it answers others; ``None`` to wait until the deadline.
+            request: The request to send.
+            deadline: Time at which the call ends.
+            idle_deadline: Returns the time at which the upstream counts as silent. This time
+                advances while the upstream answers other requests. ``None`` waits until
+                ``deadline``.
 
         Raises:
-            CallFailedError: There is no answer to this request; ``sent`` tells the rest.
-            DeadlinePassedError, CallerGoneError, RunCancelledError: As they say; may have run.
+            CallFailedError: The upstream sent no answer to this request; ``sent`` says whether the
+                upstream may have run it.
+            DeadlinePassedError: ``deadline`` or the idle deadline has passed; the request may have
+                run.
+            CallerGoneError: The caller has disconnected; the request may have run.
+            RunCancelledError: Another task cancelled the call; the request may have run.
         """
-        self._connections.calls.add(self._open)
+        self._connections.calls.add(self._open_call)
         channel = self._connections.acquire(self._upstream)
         self._channel = channel
-        if self._open.outlived:
-            raise CallFailedError(_OUTLIVED, sent=False)
-        channel.cancel_with(self._open.cancellation)
+        if self._open_call.upstream_restarted:
+            raise CallFailedError(_UPSTREAM_RESTARTED, sent=False)
+        channel.set_cancellation(self._open_call.cancellation)
         try:
             data = _encode(channel.http, request)
             if not channel.send_or_answer(data, deadline, self._watch):
                 channel.idle_limit = -1.0
-            self._await_answer(channel, deadline, quiet_at)
+            self._await_answer(channel, deadline, idle_deadline)
             head = self._read_head(channel, request, deadline)
         except ConnectionBrokenError as error:
             raise CallFailedError(str(error), sent=True) from error
         except RunCancelledError as error:
-            self._raise_if_outlived(error)
+            self._raise_if_upstream_restarted(error)
             raise
-        self._open.heard = self._clock.now()
+        self._open_call.last_received = self._clock.now()
         return head
 
     def body(self, deadline: Millis, *, silence: Millis | None = None) -> Iterator[bytes]:
         """Yield the pieces of the body as they arrive.
 
         Args:
-            deadline: When the call has to end.
+            deadline: Time at which the call ends.
             silence: Longest time without a piece, after which the call counts as failed.
 
         Raises:
-            CallFailedError: The answer broke off.
+            CallFailedError: The answer ended early, or no piece arrived for ``silence``.
         """
         channel = self._channel
         assert channel is not None
         while True:
-            quiet_at = deadline if silence is None else self._clock.now() + silence
+            idle_deadline = deadline if silence is None else self._clock.now() + silence
             try:
-                event = channel.next_event(min(deadline, quiet_at), self._watch)
+                event = channel.next_event(min(deadline, idle_deadline), self._watch)
             except ConnectionBrokenError as error:
                 raise CallFailedError(str(error), sent=True) from error
             except DeadlinePassedError as error:
-                if quiet_at >= deadline:
+                if idle_deadline >= deadline:
                     raise
                 raise CallFailedError("the stream fell silent", sent=True) from error
             except RunCancelledError as error:
-                self._raise_if_outlived(error)
+                self._raise_if_upstream_restarted(error)
                 raise
-            self._open.heard = self._clock.now()
+            self._open_call.last_received = self._clock.now()
             if isinstance(event, h11.Data):
                 yield bytes(event.data)
                 continue
@@ -247,8 +252,8 @@
         return b"".join(self.body(deadline))
 
     def close(self) -> None:
-        """Give the connection back when the answer is complete, else close it."""
-        self._connections.calls.remove(self._open)
+        """Release the connection to the pool if the answer is complete, else close it."""
+        self._connections.calls.remove(self._open_call)
         channel = self._channel
         if channel is None:
             return
@@ -258,22 +263,22 @@
             return
         channel.close()
 
-    def _raise_if_outlived(self, error: RunCancelledError) -> None:
-        if self._open.outlived:
-            raise CallFailedError(_OUTLIVED, sent=True) from error
+    def _raise_if_upstream_restarted(self, error: RunCancelledError) -> None:
+        if self._open_call.upstream_restarted:
+            raise CallFailedError(_UPSTREAM_RESTARTED, sent=True) from error
 
     def _await_answer(
-        self, channel: Channel, deadline: Millis, quiet_at: Callable[[], Millis] | None
+        self, channel: Channel, deadline: Millis, idle_deadline: Callable[[], Millis] | None
     ) -> None:
-        """Wait until the first bytes are there, for as long as the upstream is not silent."""
-        if quiet_at is None:
+        """Wait for the first bytes of the answer until the idle deadline or ``deadline``."""
+        if idle_deadline is None:
             return
         while True:
             try:
-                channel.wait_for_input(min(deadline, quiet_at()), self._watch)
+                channel.wait_for_input(min(deadline, idle_deadline()), self._watch)
                 return
             except DeadlinePassedError:
-                if min(deadline, quiet_at()) <= self._clock.now():
+                if min(deadline, idle_deadline()) <= self._clock.now():
                     raise
 
     def _read_head(
@@ -293,8 +298,8 @@
                 return UpstreamHead(
                     status=event.status_code, headers=headers, reason=bytes(event.reason)
                 )
-            # The late second answer to an earlier request on this connection. Taken for ours it
-            # would give one caller the answer of another; ours follows it.
+            # This is a late second answer to an earlier request on this connection. Accepting it
+            # would give one caller another caller's answer; the answer to this request follows.
             self._skip_answer(channel, request, deadline)
         raise ConnectionBrokenError("only answers to other requests")
 
@@ -328,5 +333,5 @@
     for part in value.split(b","):
         name, _, seconds = part.strip().partition(b"=")
         if name.lower() == b"timeout" and seconds.strip().isdigit():
-            return int(seconds) * 1000.0 * IDLE_SHARE
+            return int(seconds) * 1000.0 * IDLE_LIMIT_FRACTION
     return DEFAULT_IDLE_LIMIT
--- a/packages/node/tests/test_direct_upstream_calls.py
+++ b/packages/node/tests/test_direct_upstream_calls.py
@@ -1,4 +1,4 @@
-"""One request to an upstream that takes its time."""
+"""One request to an upstream that answers late."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @pytest.fixture
 def upstream() -> Iterator[Upstream]:
-    """A server that answers its one request late."""
+    """A server that accepts one request and answers it after `ANSWER_AFTER_S`."""
     with socket.socket() as listener:
         listener.bind(("127.0.0.1", 0))
         listener.listen()
@@ -51,12 +51,12 @@
 
 @pytest.mark.parametrize("busy", [False, True])
 def test_a_call_ends_when_its_upstream_falls_silent(upstream: Upstream, busy: bool) -> None:
-    """The answer comes after 400 ms. The upstream counts as silent after 100 ms without a byte to
-    anybody: a busy one goes on talking to others and is waited for."""
+    """The answer arrives after 400 ms. The upstream counts as silent after 100 ms without sending a
+    byte to any caller. A busy upstream still sends data to other callers, so the call waits."""
     clock = monotonic_clock()
     started = clock.now()
 
-    def quiet_at() -> Millis:
+    def idle_deadline() -> Millis:
         return (clock.now() if busy else started) + 100.0
 
     call = UpstreamCall(UpstreamConnections(clock), upstream, NAMES)
@@ -66,8 +66,8 @@
     try:
         if not busy:
             with pytest.raises(DeadlinePassedError):
-                call.start(request, started + 5_000.0, quiet_at=quiet_at)
+                call.start(request, started + 5_000.0, idle_deadline=idle_deadline)
             return
-        assert call.start(request, started + 5_000.0, quiet_at=quiet_at).status == 200
+        assert call.start(request, started + 5_000.0, idle_deadline=idle_deadline).status == 200
     finally:
         call.close()
