--- a/packages/node/src/carobspool_node/direct/_caller_connection.py
+++ b/packages/node/src/carobspool_node/direct/_caller_connection.py
@@ -1,4 +1,4 @@
-"""One caller's connection: reading requests and writing their answers."""
+"""Reads the requests of one caller's connection and writes their answers."""
 
 from __future__ import annotations
 
@@ -19,38 +19,39 @@
 from carobspool_node.direct._messages import CallerRequest, HeaderNames, Headers, find_header
 
 ANSWER_TIMEOUT: Millis = 2_000.0
-"""How long a caller may take to accept the bytes of a short answer, or a stream's next piece,
-beyond which it counts as gone: callers give up on a stream that stands still for two seconds."""
+"""Time in which a caller must accept the bytes of an answer, or the next piece of a stream; after
+that it counts as disconnected. Callers give up on a stream that delivers nothing for two seconds.
+"""
 
 
 class CallerConnection:
-    """Serves one request after the other on one socket."""
+    """An HTTP server connection that serves its requests one after the other."""
 
     def __init__(self, sock: socket.socket, clock: Clock, names: HeaderNames) -> None:
         prepare(sock)
         self._clock = clock
         self._names = names
         self._channel = Channel(sock, h11.Connection(h11.SERVER), clock)
-        self._closing = False
-        self._answering = threading.Lock()
+        self._close_after_answer = False
+        self._answer_lock = threading.Lock()
         self._answered = True
         self._streaming = False
-        self._cut = False
+        self._answered_at_exit = False
 
     @property
     def watch(self) -> CallerWatch:
-        """A watch of the caller for the current request."""
+        """A new watch that detects when the caller disconnects during the current request."""
         return CallerWatch(self._channel.socket)
 
     def close_after_answer(self) -> None:
-        """Tell the caller with the next answer that the connection ends."""
-        self._closing = True
+        """Announce with the next answer that the connection will be closed."""
+        self._close_after_answer = True
 
     def read_request(self, limits: CallerLimits) -> CallerRequest | None:
-        """Return the next request, ``None`` when the caller is done.
+        """Return the next request, ``None`` if the caller sends no more.
 
         Raises:
-            BadRequestError: The bytes are not a proper request; nothing was run.
+            BadRequestError: The bytes are not a valid request; nothing was run.
         """
         try:
             if not self._wait_for_request(limits.idle_timeout):
@@ -67,41 +68,42 @@
         return request
 
     def answer(self, status: int, headers: Headers, body: bytes, *, reason: bytes = b"") -> None:
-        """Send a whole answer.
+        """Send a complete answer.
 
         Raises:
-            CallerGoneError: The caller has left, or the exit of the process has answered.
+            CallerGoneError: The caller has disconnected, or `answer_at_exit` has answered.
         """
-        with self._answering:
-            self._begin_answer()
+        with self._answer_lock:
+            self._mark_answered()
             self._answer(status, headers, body, reason)
 
     def answer_at_exit(self, headers: Headers, body: bytes) -> bool:
-        """Answer the current request from another task, since the process exits.
+        """Answer 504 to the current request from another task while the process exits.
 
-        Its end is unknown. A stream that has begun stays as it is, and the exit breaks it off; so
-        does a long answer that its caller is slow to read, for which the exit does not wait.
+        The outcome of the request is unknown. A stream that has begun gets no such answer and is
+        cut by the exit. The same holds for an answer that is still being written because its caller
+        reads slowly: the exit does not wait for it.
 
         Returns:
-            Whether nothing is left unanswered.
+            Whether no request is left without a complete answer.
         """
-        if not self._answering.acquire(blocking=False):
+        if not self._answer_lock.acquire(blocking=False):
             return False
         try:
             if self._answered:
                 return not self._streaming
-            self._cut = True
-            self._closing = True
+            self._answered_at_exit = True
+            self._close_after_answer = True
             self._answer(504, headers, body, b"")
             return True
         except (CallerGoneError, h11.LocalProtocolError):
             return False
         finally:
-            self._answering.release()
+            self._answer_lock.release()
 
-    def _begin_answer(self) -> None:
-        if self._cut:
-            raise CallerGoneError("answered at the exit of the process")
+    def _mark_answered(self) -> None:
+        if self._answered_at_exit:
+            raise CallerGoneError("answered at process exit")
         self._answered = True
 
     def _answer(self, status: int, headers: Headers, body: bytes, reason: bytes) -> None:
@@ -117,22 +119,22 @@
     def start_stream(self, status: int, headers: Headers, reason: bytes) -> None:
         """Send the head of a streamed answer."""
         headers = [(key, value) for key, value in headers if key.lower() != b"content-length"]
-        with self._answering:
-            self._begin_answer()
+        with self._answer_lock:
+            self._mark_answered()
             self._streaming = True
             self._send(self._head(status, headers, reason))
 
     def send_piece(self, data: bytes) -> None:
-        """Send a piece of a streamed answer."""
+        """Send one piece of a streamed answer."""
         self._send(self._channel.http.send(h11.Data(data=data)) or b"")
 
     def finish_stream(self) -> None:
-        """End a streamed answer as complete."""
+        """Send the end of a streamed answer, which marks it as complete."""
         self._send(self._channel.http.send(h11.EndOfMessage()) or b"")
         self._streaming = False
 
-    def next_cycle(self) -> bool:
-        """Prepare for a next request; return whether there can be one."""
+    def prepare_next_request(self) -> bool:
+        """Prepare to read the next request; return whether the connection can be reused."""
         http = self._channel.http
         if http.our_state is not h11.DONE or http.their_state is not h11.DONE:
             return False
@@ -140,15 +142,16 @@
         return True
 
     def close(self) -> None:
-        """Close the connection in order, so that the caller can read what was sent."""
+        """Close the connection without a reset, so that the caller can read what was sent."""
         self._channel.close()
 
     def abort(self) -> None:
-        """Break the connection off; an unfinished answer cannot look complete.
+        """Reset the connection, so that an unfinished answer does not look complete.
 
-        An answer that the exit of the process has sent is complete, and a reset could overtake it.
+        An answer sent by `answer_at_exit` is complete. The connection is then closed without a
+        reset, because the reset could discard the answer before the caller reads it.
         """
-        if self._cut:
+        if self._answered_at_exit:
             self._channel.close()
             return
         self._channel.reset()
@@ -171,8 +174,8 @@
         if not isinstance(head, h11.Request):
             raise ConnectionBrokenError("closed")
         if self._channel.http.they_are_waiting_for_100_continue:
-            go_on = h11.InformationalResponse(status_code=100, headers=[])
-            self._channel.send(self._channel.http.send(go_on) or b"", deadline)
+            interim = h11.InformationalResponse(status_code=100, headers=[])
+            self._channel.send(self._channel.http.send(interim) or b"", deadline)
         headers = [(bytes(key), bytes(value)) for key, value in head.headers]
         if sum(len(key) + len(value) + 4 for key, value in headers) > limits.header_bytes:
             raise BadRequestError("the header is too long", 431)
@@ -205,7 +208,7 @@
                 raise BadRequestError("the body is too long", 413)
 
     def _head(self, status: int, headers: Headers, reason: bytes) -> bytes:
-        if self._closing:
+        if self._close_after_answer:
             headers = [*headers, (b"Connection", b"close")]
         response = h11.Response(status_code=status, headers=headers, reason=reason)
         return self._channel.http.send(response) or b""
--- a/packages/node/src/carobspool_node/direct/_exit.py
+++ b/packages/node/src/carobspool_node/direct/_exit.py
@@ -87,7 +87,7 @@
             self._clock.now() - began,
         )
         self._telemetry.stop_logs()
-        callers.shut()
+        callers.close_socket()
 
     def _serve_on(self, callers: Listener, began: Millis) -> None:
         while (time_left := self.time_left) is not None and time_left > 0:
--- a/packages/node/src/carobspool_node/direct/_listener.py
+++ b/packages/node/src/carobspool_node/direct/_listener.py
@@ -1,4 +1,4 @@
-"""Accepts connections and serves each on a task of a bounded pool."""
+"""Accepts connections and serves each one on a thread of a bounded pool."""
 
 from __future__ import annotations
 
@@ -18,24 +18,24 @@
 from carobspool_node.direct._failure_answer import failure_answer
 from carobspool_node.direct._messages import CallerRequest, HeaderNames
 
-REFUSAL_TIME_S = 0.1
-"""How long an exit waits for refusals that are being written; one takes less than a millisecond."""
-BACKLOG = 512
-"""Connections that may wait to be accepted; a full queue drops the opening packet, which is sent
-again only a second later."""
+REFUSAL_WRITE_TIMEOUT_S = 0.1
+"""How long the exit waits for refusals in progress; writing one takes less than a millisecond."""
+ACCEPT_QUEUE_LENGTH = 512
+"""Length of the accept queue. A full queue drops the SYN, which the client retransmits only after a
+second."""
 
 Handler = Callable[[CallerRequest, CallerConnection], None]
 
 
 class Listener:
-    """One listening address.
+    """Accepts connections on one address and serves their requests.
 
     Args:
-        address: Where to listen.
-        workers: Connections served at once; more wait for one to end.
+        address: Address to listen on.
+        workers: Connections served at once; further ones wait until one ends.
         clock: The process's clock.
-        names: Header names of the callers.
-        limits: Returns what a caller may send now.
+        names: Header names used by the callers.
+        limits: Returns the current limits on requests.
         handle: Serves one request.
     """
 
@@ -56,46 +56,46 @@
         self._pool = ThreadPoolExecutor(workers, thread_name_prefix=f"http-{address[1]}")
         self._lock = threading.Lock()
         self._in_progress: dict[CallerConnection, CallerRequest] = {}
-        self._open = 0
-        self._closing = False
+        self._open_connections = 0
+        self._draining = False
         self._closed = False
-        self._shut = threading.Event()
-        self._refusing = 0
-        self._socket = socket.create_server(address, backlog=BACKLOG)
+        self._socket_closed = threading.Event()
+        self._pending_refusals = 0
+        self._socket = socket.create_server(address, backlog=ACCEPT_QUEUE_LENGTH)
 
     @property
     def busy(self) -> int:
-        """Requests that are being served."""
+        """Number of requests in progress."""
         return len(self._in_progress)
 
     @property
     def open_connections(self) -> int:
-        """Connections that are open."""
-        return self._open
+        """Number of open connections."""
+        return self._open_connections
 
     def start(self) -> None:
-        """Start to accept."""
+        """Start to accept connections on a thread of its own."""
         threading.Thread(target=self._accept, name="accept", daemon=True).start()
 
     def drain(self) -> None:
-        """End each connection with its next answer."""
-        self._closing = True
+        """Close each connection after its next answer."""
+        self._draining = True
 
     def close_if_idle(self) -> bool:
-        """Take no request any more, unless one is being served; return whether that is so.
+        """Stop serving requests if none is in progress; return whether serving has stopped.
 
-        An entry without requests still needs some time to be gone, and callers come until then.
-        What it took in that time was cut; now it is told that nothing was run.
+        The process needs some time to exit, and callers still send requests until then. Serving
+        them would cut them off at the exit, so they are refused as not run.
         """
         with self._lock:
             self._closed = self._closed or not self._in_progress
             return self._closed
 
     def close(self) -> list[CallerRequest]:
-        """Take no request any more, and answer those that are being served as unknown.
+        """Stop serving requests, and answer those in progress with an unknown outcome.
 
         Returns:
-            Requests that are left without an answer, or in the middle of a stream.
+            Requests left without a complete answer, such as unfinished streams.
         """
         with self._lock:
             self._closed = True
@@ -107,31 +107,31 @@
                 cut.append(request)
         return cut
 
-    def shut(self) -> None:
-        """Stop to listen, and let what is being refused be written; call `close` first.
+    def close_socket(self) -> None:
+        """Close the listening socket and wait for refusals in progress; call `close` first.
 
-        From here on new callers find the port closed and know that nobody has read their request.
+        New callers then find the port closed, which shows that their request was not read.
         """
-        self._shut.set()
+        self._socket_closed.set()
         with contextlib.suppress(OSError):
             self._socket.shutdown(socket.SHUT_RDWR)
         self._socket.close()
-        until = time.monotonic() + REFUSAL_TIME_S
-        while self._refusing and time.monotonic() < until:
+        until = time.monotonic() + REFUSAL_WRITE_TIMEOUT_S
+        while self._pending_refusals and time.monotonic() < until:
             time.sleep(0.005)
 
     def _accept(self) -> None:
-        while not self._shut.is_set():
+        while not self._socket_closed.is_set():
             try:
                 sock, _ = self._socket.accept()
             except OSError as error:
-                if self._shut.is_set():
+                if self._socket_closed.is_set():
                     return
                 logging.error("event=accept_failed reason=%r", error)
                 threading.Event().wait(0.05)
                 continue
             with self._lock:
-                self._open += 1
+                self._open_connections += 1
             self._pool.submit(self._serve, sock)
 
     def _serve(self, sock: socket.socket) -> None:
@@ -151,7 +151,7 @@
         finally:
             sock.close()
             with self._lock:
-                self._open -= 1
+                self._open_connections -= 1
 
     def _serve_one(self, connection: CallerConnection) -> bool:
         try:
@@ -167,20 +167,20 @@
         with self._lock:
             closed = self._closed
             if closed:
-                self._refusing += 1
+                self._pending_refusals += 1
             else:
                 self._in_progress[connection] = request
         if closed:
             self._refuse(request, connection)
             return False
         try:
-            if self._closing:
+            if self._draining:
                 connection.close_after_answer()
             self._handle(request, connection)
         finally:
             with self._lock:
                 del self._in_progress[connection]
-        return connection.next_cycle()
+        return connection.prepare_next_request()
 
     def _refuse(self, request: CallerRequest, connection: CallerConnection) -> None:
         headers, body = failure_answer("this entry has left", "not_run", LEAVING_RETRY_AFTER)
@@ -189,5 +189,5 @@
             connection.answer(503, headers, body)
         finally:
             with self._lock:
-                self._refusing -= 1
+                self._pending_refusals -= 1
         logging.info("event=leaving_refused request=%s closed=True", request.request_id)
--- a/packages/node/tests/test_direct_caller_connection.py
+++ b/packages/node/tests/test_direct_caller_connection.py
@@ -1,4 +1,4 @@
-"""Answers that the exit of a process sends in place of those that were still to come."""
+"""Answers that the exit of a process sends to requests in progress."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 
 
 @pytest.fixture
-def ends() -> Iterator[tuple[socket.socket, socket.socket]]:
-    """The caller's end of a connection whose request has been sent, and the entry's."""
+def sockets() -> Iterator[tuple[socket.socket, socket.socket]]:
+    """The caller's and the entry's socket of a connection on which a request was sent."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         caller = socket.create_connection(listener.getsockname())
         entry, _ = listener.accept()
@@ -33,15 +33,15 @@
 
 
 @pytest.fixture
-def caller(ends: tuple[socket.socket, socket.socket]) -> socket.socket:
-    """The caller's end."""
-    return ends[0]
+def caller(sockets: tuple[socket.socket, socket.socket]) -> socket.socket:
+    """The caller's socket."""
+    return sockets[0]
 
 
 @pytest.fixture
-def connection(ends: tuple[socket.socket, socket.socket]) -> CallerConnection:
-    """The entry's end, with the request read."""
-    found = CallerConnection(ends[1], boottime_clock(), HeaderNames())
+def connection(sockets: tuple[socket.socket, socket.socket]) -> CallerConnection:
+    """The entry's side of the connection, with the request read."""
+    found = CallerConnection(sockets[1], boottime_clock(), HeaderNames())
     assert found.read_request(CallerLimits()) is not None
     return found
 
@@ -57,8 +57,8 @@
 def test_a_request_without_an_answer_gets_one_at_the_exit(
     caller: socket.socket, connection: CallerConnection
 ) -> None:
-    """The caller learns at once that nothing is known; the answer that comes later is dropped, and
-    does not reset the connection before the caller has read what it got."""
+    """The caller receives 504 immediately. The answer that comes later is dropped, and does not
+    reset the connection before the caller has read the 504."""
     assert connection.answer_at_exit([], b"left")
     with pytest.raises(CallerGoneError):
         connection.answer(200, [], b"late")
@@ -72,10 +72,10 @@
 def test_a_connection_without_a_request_gets_no_answer_at_the_exit(
     caller: socket.socket, connection: CallerConnection
 ) -> None:
-    """The last request was answered a moment ago. A second answer would be taken for that of the
-    caller's next request."""
+    """The last request has just been answered. The caller would take a second answer for the answer
+    to its next request."""
     connection.answer(200, [], b"ok")
-    assert connection.next_cycle()
+    assert connection.prepare_next_request()
     assert connection.answer_at_exit([], b"left")
     assert _received(caller).count(b"HTTP/1.1") == 1
 
@@ -83,8 +83,9 @@
 def test_the_exit_does_not_wait_for_a_caller_that_is_slow_to_read(
     connection: CallerConnection,
 ) -> None:
-    """An answer is longer than what the caller takes. Each such caller would hold the exit for two
-    seconds, and the process would be killed before it had answered the others."""
+    """An answer does not fit into the socket buffers and its caller does not read. Each such caller
+    would delay the exit by two seconds, and the process would be killed before it had answered the
+    other callers."""
 
     def answer() -> None:
         with contextlib.suppress(CallerGoneError):
@@ -99,7 +100,7 @@
     worker.join()
 
 
-def test_a_stream_that_has_begun_is_left_to_be_cut(
+def test_a_stream_that_has_begun_gets_no_answer_at_the_exit(
     caller: socket.socket, connection: CallerConnection
 ) -> None:
     connection.start_stream(200, [], b"")
