--- a/packages/node/src/carobspool_node/direct/_callers.py
+++ b/packages/node/src/carobspool_node/direct/_callers.py
@@ -1,4 +1,4 @@
-"""What callers of a direct entry reach: online requests and calls on batch jobs."""
+"""Dispatches callers' requests: online requests, job submissions and calls on batch jobs."""
 
 from __future__ import annotations
 
@@ -34,23 +34,23 @@
     RequestQuota,
 )
 
-START_RETRY_AFTER: Millis = 500.0
-"""An entry without a configuration has one within half a second of reaching the store."""
+NOT_CONFIGURED_RETRY_AFTER: Millis = 500.0
+"""An entry without a configuration reads it within half a second of reaching the store."""
 QUOTA_RETRY_AFTER: Millis = 2_000.0
-"""Time in which some waiting items finish; a job's items take some five seconds each."""
-LONGEST_JOB_CALL: Millis = 4_000.0
-"""Time that a caller who names no deadline is taken to have for a call on a job."""
-MAX_WAIT: Millis = 1_000.0
+"""Within this time some waiting items finish; an item of a job takes some five seconds."""
+MAX_JOB_CALL_TIME: Millis = 4_000.0
+"""Upper limit of the time for a call on a job, and its default if the caller sends no deadline."""
+MAX_READ_WAIT: Millis = 1_000.0
 NOT_CONFIGURED = "no configuration is known yet"
 KEY_RETRY_AFTER: Millis = 500.0
-"""Time in which an entry that could ask nobody about a key hears of another entry."""
-LIMIT_SPREAD = 0.5
-"""Part by which refused callers come back later than the next token, drawn for each: all of them at
-once would find one token."""
-LONGEST_JOB_ID = 150
-"""Characters of a job's id; hints name jobs, and their fields are bounded."""
+"""Within this time an entry that had no other entry to confirm a key with learns of one."""
+RETRY_JITTER_FRACTION = 0.5
+"""Fraction of the wait for the next token that is added to each Retry-After, scaled by a random
+factor. Without it all refused callers would return at the same time and compete for one token."""
+MAX_JOB_ID_CHARS = 150
+"""Longest job id, in characters. Hints contain job ids, and their fields are bounded."""
 
-_Found = TypeVar("_Found")
+_Result = TypeVar("_Result")
 
 _STATUS = {
     Outcome.NOT_FOUND: 404,
@@ -61,7 +61,7 @@
 
 
 class CallerApi:
-    """Sends each request to where it is served."""
+    """Passes each request to the forwarder or to the jobs, or refuses it."""
 
     def __init__(
         self,
@@ -93,7 +93,7 @@
         try:
             call = self._dialect.job_call(request)
             if call is not None:
-                if self._has_time(request, caller):
+                if self._check_time_for_job_call(request, caller):
                     self._serve_job_call(call, request, caller)
                 return
             self._serve_route(request, caller)
@@ -112,7 +112,7 @@
     def _serve_route(self, request: CallerRequest, caller: CallerConnection) -> None:
         configuration = self._configuration()
         if configuration is None:
-            self._refuse(request, caller, 503, NOT_CONFIGURED, START_RETRY_AFTER)
+            self._refuse(request, caller, 503, NOT_CONFIGURED, NOT_CONFIGURED_RETRY_AFTER)
             return
         route = configuration.route_for(request.host, request.path)
         if route is None:
@@ -122,7 +122,7 @@
         if not request.request_id:
             raise BadRequestError("the request has no id", 400)
         if route.kind is RouteKind.BATCH:
-            if self._has_time(request, caller):
+            if self._check_time_for_job_call(request, caller):
                 self._submit(request, route, caller, access)
             return
         if access.organisation is None:
@@ -143,8 +143,8 @@
         if not self._forwarder.serve(request, route, caller, organisation=organisation):
             self._quota.give_back(organisation)
 
-    def _has_time(self, request: CallerRequest, caller: CallerConnection) -> bool:
-        """Whether a call on a job can end before this process does; if not, refuse it."""
+    def _check_time_for_job_call(self, request: CallerRequest, caller: CallerConnection) -> bool:
+        """Return whether a call on a job can finish before this process exits; refuse it if not."""
         if has_time_for_job_call(self._time_left()):
             return True
         self._refuse(request, caller, 503, "this entry is leaving", LEAVING_RETRY_AFTER)
@@ -168,72 +168,77 @@
         )
         unowned = qualified_job_id(request.request_id, None) if access.owner else None
         outcome = self._jobs.submit(job, route, unowned=unowned)
-        self._note(request, "submit", outcome)
+        self._record_job_call(request, "submit", outcome)
         if outcome is Outcome.DONE:
             caller.answer(202, [], b"")
             return
         wait = QUOTA_RETRY_AFTER
         if outcome is not Outcome.OVER_QUOTA:
-            wait = self._return_after(request, route.timeout)
-        self._fail(caller, outcome, wait)
+            wait = self._retry_after(request, route.timeout)
+        self._answer_failure(caller, outcome, wait)
 
     def _serve_job_call(
         self, call: JobCall, request: CallerRequest, caller: CallerConnection
     ) -> None:
         configuration = self._configuration()
         if configuration is None:
-            # Whose jobs there are is not known; a plain id could name any of them.
-            self._refuse(request, caller, 503, NOT_CONFIGURED, START_RETRY_AFTER)
+            # The organisations are unknown, so an unqualified id could name any organisation's job.
+            self._refuse(request, caller, 503, NOT_CONFIGURED, NOT_CONFIGURED_RETRY_AFTER)
             return
-        owner = self._job_access(request, configuration).owner
+        owner = self._identify_for_job_call(request, configuration).owner
         if isinstance(call, ReadResults):
-            wait = min(call.wait, MAX_WAIT)
-            page = self._of_owner(
+            wait = min(call.wait, MAX_READ_WAIT)
+            page = self._act_on_job(
                 call, owner, lambda name: self._jobs.results(name, call.after, wait)
             )
             if isinstance(page, ResultsPage):
                 headers = [(b"Content-Type", b"application/json")]
                 caller.answer(200, headers, self._dialect.results(page))
                 return
-            self._note(request, "read", page)
-            self._fail(caller, page, self._return_after(request, LONGEST_JOB_CALL))
+            self._record_job_call(request, "read", page)
+            self._answer_failure(caller, page, self._retry_after(request, MAX_JOB_CALL_TIME))
             return
         if isinstance(call, ReadBody):
-            body = self._of_owner(call, owner, lambda name: self._jobs.body(name, call.item_id))
+            body = self._act_on_job(call, owner, lambda name: self._jobs.body(name, call.item_id))
             if isinstance(body, bytes):
                 caller.answer(200, [(b"Content-Type", b"application/octet-stream")], body)
                 return
-            self._note(request, "body", body)
-            self._fail(caller, body, self._return_after(request, LONGEST_JOB_CALL))
+            self._record_job_call(request, "body", body)
+            self._answer_failure(caller, body, self._retry_after(request, MAX_JOB_CALL_TIME))
             return
-        outcome = self._of_owner(call, owner, self._jobs.end)
-        self._note(request, "end", outcome)
+        outcome = self._act_on_job(call, owner, self._jobs.end)
+        self._record_job_call(request, "end", outcome)
         if outcome is Outcome.DONE:
             caller.answer(200, [], b"")
             return
-        self._fail(caller, outcome, self._return_after(request, LONGEST_JOB_CALL))
+        self._answer_failure(caller, outcome, self._retry_after(request, MAX_JOB_CALL_TIME))
 
-    def _job_access(self, request: CallerRequest, configuration: Configuration) -> Access:
+    def _identify_for_job_call(
+        self, request: CallerRequest, configuration: Configuration
+    ) -> Access:
         values = request.header_values(AUTHORIZATION)
         is_exempt = not values and configuration.has_open_jobs_at(request.host)
         return self._identify(request, is_exempt=is_exempt)
 
-    def _of_owner(
-        self, call: JobCall, owner: str | None, act: Callable[[str], _Found | Outcome]
-    ) -> _Found | Outcome:
-        """Act on a job of the caller's organisation, or on one of nobody."""
+    def _act_on_job(
+        self, call: JobCall, owner: str | None, act: Callable[[str], _Result | Outcome]
+    ) -> _Result | Outcome:
+        """Apply ``act`` to the job of the caller's organisation.
+
+        If that organisation has no such job, apply ``act`` to a job that belongs to none.
+        """
         found = act(qualified_job_id(call.job_id, owner))
         if found is not Outcome.NOT_FOUND:
             return found
         unowned = self._jobs.unowned(call.job_id, owner)
         return found if unowned is None else act(unowned)
 
-    def _return_after(self, request: CallerRequest, limit: Millis) -> Millis:
+    def _retry_after(self, request: CallerRequest, limit: Millis) -> Millis:
         deadline = request.time_limit(self._names.deadline, limit)
         time_left = request.arrived + deadline - self._clock.now()
         return return_after_outage(random.random(), time_left)
 
-    def _note(self, request: CallerRequest, call: str, outcome: Outcome) -> None:
+    def _record_job_call(self, request: CallerRequest, call: str, outcome: Outcome) -> None:
         self._telemetry.count("job_calls", call=call, outcome=outcome.value)
         logging.info(
             "event=job_call call=%s request=%s path=%s outcome=%s took_ms=%.0f",
@@ -244,11 +249,13 @@
             self._clock.now() - request.arrived,
         )
 
-    def _fail(self, caller: CallerConnection, outcome: Outcome, retry_after: Millis) -> None:
+    def _answer_failure(
+        self, caller: CallerConnection, outcome: Outcome, retry_after: Millis
+    ) -> None:
         status = _STATUS[outcome]
-        told = "unknown" if outcome is Outcome.UNKNOWN else "not_run"
+        reported = "unknown" if outcome is Outcome.UNKNOWN else "not_run"
         wait = retry_after if status in (429, 503) else None
-        headers, body = failure_answer(outcome.value, told, wait)
+        headers, body = failure_answer(outcome.value, reported, wait)
         caller.answer(status, headers, body)
 
     def _refuse_key(
@@ -268,7 +275,7 @@
         admission: Admission,
     ) -> None:
         self._telemetry.count("over_limit")
-        wait = admission.wait * (1.0 + LIMIT_SPREAD * random.random())
+        wait = admission.wait * (1.0 + RETRY_JITTER_FRACTION * random.random())
         logging.info(
             "event=over_limit request=%s organisation=%s level=%.2f entries_heard=%d entries=%d"
             " wait_ms=%.0f",
@@ -304,7 +311,7 @@
 
 
 def _is_job_id(request_id: str) -> bool:
-    """Whether an id can name a job: in objects' keys, in hints and in paths of calls."""
-    if len(request_id) > LONGEST_JOB_ID:
+    """Return whether an id can name a job in object keys, in hints and in the paths of calls."""
+    if len(request_id) > MAX_JOB_ID_CHARS:
         return False
     return request_id.isascii() and request_id.isprintable() and not set(request_id) & set("/?# ")
--- a/packages/node/src/carobspool_node/direct/_errors.py
+++ b/packages/node/src/carobspool_node/direct/_errors.py
@@ -1,4 +1,4 @@
-"""Errors of the transport and of the calls over it."""
+"""Errors of connections and of the calls over them."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 
 class ConnectionBrokenError(NodeError):
-    """The peer closed or reset the connection, or sent bytes that are not HTTP."""
+    """The connection failed, or the peer closed or reset it or sent invalid HTTP."""
 
 
 class BadRequestError(NodeError):
-    """A caller's bytes are not a proper request.
+    """A caller's request is invalid.
 
     Attributes:
-        status: The status to answer.
+        status: HTTP status of the answer.
     """
 
     def __init__(self, message: str, status: int) -> None:
@@ -22,11 +22,11 @@
 
 
 class DeadlinePassedError(NodeError):
-    """The time for the call is over."""
+    """The deadline of the call has passed."""
 
 
 class CallerGoneError(NodeError):
-    """The caller closed its connection while its request was served."""
+    """The caller disconnected, or stopped reading, while its request was served."""
 
 
 class RunCancelledError(NodeError):
--- a/packages/node/src/carobspool_node/direct/_failure_answer.py
+++ b/packages/node/src/carobspool_node/direct/_failure_answer.py
@@ -1,4 +1,4 @@
-"""The answer of a failure of our own: what happened, whether it ran, when to come back."""
+"""Builds the answers that an entry itself gives to requests that failed."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 
 def failure_answer(message: str, outcome: str, retry_after: Millis | None) -> tuple[Headers, bytes]:
-    """Return headers and body of a failure of our own.
+    """Return the headers and the body of an error answer.
 
     Args:
-        message: What happened.
+        message: Description of the failure.
         outcome: ``not_run`` or ``unknown``.
-        retry_after: When to come back, in milliseconds.
+        retry_after: Time after which the caller may retry, in milliseconds; ``None`` omits it.
     """
     headers: Headers = [
         (b"Content-Type", b"application/json"),
