--- a/packages/node/src/carobspool_node/direct/__init__.py
+++ b/packages/node/src/carobspool_node/direct/__init__.py
@@ -1,7 +1,8 @@
-"""Entries that call upstreams directly: for hosts where no process runs beside each upstream.
+"""Entries that call upstreams directly, for platforms without a sidecar beside each upstream.
 
-Callers' HTTP, calls to upstreams, batch jobs over the object store, hints between entries. What a
-platform calls these things is told by a `Deployment`.
+The package contains the HTTP server for callers, the calls to upstreams, batch jobs kept in the
+object store, and the hints that entries send each other. A `Deployment` supplies the names and
+formats that are specific to a platform.
 """
 
 from carobspool_node.direct._channel import prepare as prepare_socket
--- a/packages/node/src/carobspool_node/direct/_declared.py
+++ b/packages/node/src/carobspool_node/direct/_declared.py
@@ -1,4 +1,4 @@
-"""What the operator declares and which upstreams are registered, as this process knows it."""
+"""This process's view of the operator's configuration and of the registered upstreams."""
 
 from __future__ import annotations
 
@@ -20,27 +20,27 @@
 UPSTREAMS = "upstreams"
 _STARTS = "upstream_starts"
 _REVISION = "upstreams_revision"
-UPSTREAMS_GATHER: Millis = 250.0
-"""Pause between two watches of the upstreams. A leaving upstream must get nothing new two seconds
-after it said so, and entries compare their views after 400 ms."""
-UNUSABLE_KEPT = 20_000
-"""Registrations of which it is remembered that this version of them cannot be used, at some 500
-bytes each. A listing comes every two seconds, and finding out what is wrong with each of 10,000 bad
-ones took most of the 0.43 of a core that an entry used beside them."""
-REASON_KEPT = 300
+UPSTREAMS_WATCH_PAUSE: Millis = 250.0
+"""Pause between two watches of the upstreams. An upstream that is shutting down must receive no new
+requests two seconds after it announces this, and entries compare their views after 400 ms."""
+MAX_UNUSABLE_CACHED = 20_000
+"""Unusable registrations whose version and reason are cached, at some 500 bytes each. A listing is
+read every two seconds; without the cache, validating 10,000 unusable registrations each time took
+most of the 0.43 of a core that an entry used."""
+MAX_REASON_CHARS = 300
 
 
 class Declared:
-    """Follows configuration and upstreams in the store.
+    """Follows the configuration and the upstream registrations in the store.
 
     Args:
         clock: The process's clock.
         store: The object store.
-        deployment: Where they lie and how they read.
-        telemetry: Counts what cannot be read.
-        on_duty: Returns whether this process follows the store itself.
-        on_configuration: Called when a newer configuration is in force.
-        on_restarted: Called with each upstream that has started again under its id.
+        deployment: The objects' keys and formats.
+        telemetry: Counts unusable objects.
+        on_duty: Returns whether this process watches the store itself.
+        on_configuration: Called after a newer configuration was applied.
+        on_restarted: Called with each upstream that has restarted under the same id.
     """
 
     def __init__(
@@ -74,25 +74,25 @@
             CONFIGURATION: Follower(
                 store,
                 f"{kind}/",
-                on_listing=self._configuration_listed,
-                on_change=lambda change: self._take_configuration(change.object),
+                on_listing=self._on_configuration_listed,
+                on_change=lambda change: self._apply_configuration(change.object),
                 on_duty=on_duty,
             ),
             UPSTREAMS: Follower(
                 store,
                 deployment.upstream_prefix,
-                on_listing=self._upstreams_replaced,
-                on_change=self._upstream_changed,
-                on_regained=self._upstreams_regained,
-                reduce=self._reduced,
-                gather=UPSTREAMS_GATHER,
+                on_listing=self._on_upstreams_listed,
+                on_change=self._on_upstream_changed,
+                on_regained=self._on_store_regained,
+                reduce=self._with_parsed_value,
+                gather=UPSTREAMS_WATCH_PAUSE,
                 on_duty=on_duty,
             ),
         }
 
     @property
     def configuration(self) -> Configuration | None:
-        """The configuration in force, ``None`` until one is known; versions only grow."""
+        """The configuration in force, ``None`` until one is read. Its version never decreases."""
         return self._configuration
 
     @property
@@ -101,7 +101,7 @@
         return self._configuration is not None and self._upstreams_listed
 
     def start(self) -> None:
-        """Start to follow."""
+        """Start to follow the store."""
         for follower in self._followers.values():
             follower.start()
 
@@ -116,26 +116,26 @@
             return self._upstreams.listed()
 
     def identities(self) -> set[str]:
-        """Return the identities of all upstreams known, leaving ones included."""
+        """Return the identities of all known upstreams, including those that are shutting down."""
         with self._upstreams_lock:
             return self._upstreams.identities()
 
     def largest_service(self) -> int:
-        """Return how many upstreams the largest service has, leaving ones left out."""
+        """Return the size of the largest service, without upstreams that are shutting down."""
         with self._upstreams_lock:
             return self._upstreams.largest_service()
 
     def identities_by_key(self) -> Mapping[int, str]:
-        """Return the identities of all upstreams known by the keys that hints name them by."""
+        """Return the identities of all known upstreams by the keys that hints use for them."""
         with self._upstreams_lock:
             return self._upstreams.identities_by_key()
 
     def versions(self) -> Mapping[str, int]:
-        """Return what is known, as numbers for the others."""
+        """Return version numbers of this process's views, to send to other processes."""
         return {**self.digests(), _REVISION: self._followers[UPSTREAMS].revision}
 
     def digests(self) -> Mapping[str, int]:
-        """Return the numbers that change only with what is known."""
+        """Return those version numbers that change only if a view's content changes."""
         return {
             CONFIGURATION: self._configuration_view.version,
             UPSTREAMS: self._upstreams_view.version,
@@ -143,76 +143,76 @@
         }
 
     def newer_kinds(self, versions: Mapping[str, int]) -> list[str]:
-        """Return of what another process, by what it tells, knows more than this one."""
+        """Return the names of the views that are newer at a process with these ``versions``."""
         found = []
         if versions.get(CONFIGURATION, 0) > self._configuration_view.version:
             found.append(CONFIGURATION)
-        if self._tells_other_upstreams(versions) and (
+        if self._upstreams_differ(versions) and (
             versions.get(_REVISION, 0) > self._followers[UPSTREAMS].revision
         ):
             found.append(UPSTREAMS)
         return found
 
     def stored_configuration(self) -> tuple[int, Json] | None:
-        """Return the object of the configuration in force, with the store's revision of it."""
+        """Return the store revision and the value of the configuration in force."""
         return self._stored_configuration
 
     def upstreams_view(self) -> tuple[int, UpstreamsView]:
-        """Return the upstreams for another process, with the store's revision known here."""
+        """Return the known store revision and the upstreams, to send to another process."""
         with self._upstreams_lock:
             revision = self._followers[UPSTREAMS].revision
             return revision, self._upstreams.view(self._clock.now())
 
     def adopt_configuration(self, revision: int, value: Json) -> bool:
-        """Take the configuration that another process knows; return whether it is newer."""
+        """Apply another process's configuration if it is newer; return whether it was applied."""
         key = self._deployment.configuration_key
         before = self._configuration_view.version
-        self._take_configuration(StoredObject(key=key, version=revision, value=value))
+        self._apply_configuration(StoredObject(key=key, version=revision, value=value))
         return self._configuration_view.version > before
 
     def adopt_upstreams(self, revision: int, view: UpstreamsView) -> bool:
-        """Take the upstreams that another process knows, unless newer ones are known here."""
+        """Apply another process's upstreams if its revision is newer; return whether it was."""
         restarted: list[Upstream] = []
 
         def apply() -> None:
             with self._upstreams_lock:
                 restarted.extend(self._upstreams.adopt(view, self._clock.now()))
-                self._note_digests()
+                self._update_digests()
             self._upstreams_listed = True
 
-        taken = self._followers[UPSTREAMS].adopt(revision, apply)
-        self._tell_restarted(restarted)
-        return taken
+        adopted = self._followers[UPSTREAMS].adopt(revision, apply)
+        self._report_restarted(restarted)
+        return adopted
 
-    def _tells_other_upstreams(self, versions: Mapping[str, int]) -> bool:
-        # Processes of the version before tell nothing of starts.
+    def _upstreams_differ(self, versions: Mapping[str, int]) -> bool:
+        # Processes of the previous version send no digest of starts.
         views = ((UPSTREAMS, self._upstreams_view), (_STARTS, self._starts_view))
         return any(versions.get(name, 0) not in (0, view.version) for name, view in views)
 
     def compare(self, versions: Mapping[str, int]) -> None:
-        """Read again what another process knows and this one has missed."""
+        """Refresh the views that differ from those of a process with these ``versions``."""
         now = self._clock.now()
         if self._configuration_view.is_behind(versions.get(CONFIGURATION, 0), now):
             self._followers[CONFIGURATION].refresh()
         if 0 < versions.get(_REVISION, 0) < self._followers[UPSTREAMS].revision:
-            # It is the other one that has missed something.
+            # The other process is behind.
             return
-        # Processes of the version before tell nothing of starts.
+        # Processes of the previous version send no digest of starts.
         for name, view in ((UPSTREAMS, self._upstreams_view), (_STARTS, self._starts_view)):
             digest = versions.get(name, 0)
             if digest and view.differs(digest, now):
                 self._followers[UPSTREAMS].refresh()
 
     def refresh(self) -> None:
-        """Read what the watches should have told."""
+        """Read the store again, in case a watch has missed a change."""
         for follower in self._followers.values():
             follower.refresh()
 
-    def _configuration_listed(self, objects: Sequence[StoredObject]) -> None:
+    def _on_configuration_listed(self, objects: Sequence[StoredObject]) -> None:
         for each in objects:
-            self._take_configuration(each)
+            self._apply_configuration(each)
 
-    def _take_configuration(self, stored: StoredObject) -> None:
+    def _apply_configuration(self, stored: StoredObject) -> None:
         if stored.key != self._deployment.configuration_key or stored.value is None:
             return
         known = self._stored_configuration
@@ -238,11 +238,11 @@
         )
         self._on_configuration()
 
-    def _upstreams_replaced(self, objects: Sequence[StoredObject]) -> None:
+    def _on_upstreams_listed(self, objects: Sequence[StoredObject]) -> None:
         found = []
         unusable = []
         for each in objects:
-            name = self._instance_of(each)
+            name = self._instance_id(each)
             if isinstance(each.value, Upstream):
                 self._bad_upstreams.mended(name)
                 found.append(each.value)
@@ -251,14 +251,14 @@
             unusable.append(name)
         with self._upstreams_lock:
             restarted = self._upstreams.replace(found, self._clock.now(), unusable=unusable)
-            self._note_digests()
+            self._update_digests()
         if not self._upstreams_listed:
             logging.info("event=upstreams_listed count=%d unusable=%d", len(found), len(unusable))
         self._upstreams_listed = True
-        self._tell_restarted(restarted)
+        self._report_restarted(restarted)
 
-    def _upstream_changed(self, change: ObjectChange) -> None:
-        name = self._instance_of(change.object)
+    def _on_upstream_changed(self, change: ObjectChange) -> None:
+        name = self._instance_id(change.object)
         registered = None if change.deleted else self._read_upstream(change.object)
         restarted: Sequence[Upstream] = ()
         with self._upstreams_lock:
@@ -269,7 +269,7 @@
                 restarted = self._upstreams.put(registered)
             else:
                 self._upstreams.refuse(name)
-            self._note_digests()
+            self._update_digests()
         if registered is not None and not isinstance(registered, Upstream):
             self._bad_upstreams.note(name, registered)
             return
@@ -282,37 +282,37 @@
             change.deleted,
             change.object.version,
         )
-        self._tell_restarted(restarted)
+        self._report_restarted(restarted)
 
-    def _note_digests(self) -> None:
+    def _update_digests(self) -> None:
         self._upstreams_view.version = self._upstreams.digest()
         self._starts_view.version = self._upstreams.digest_of_starts()
 
-    def _tell_restarted(self, upstreams: Sequence[Upstream]) -> None:
+    def _report_restarted(self, upstreams: Sequence[Upstream]) -> None:
         for upstream in upstreams:
             self._on_restarted(upstream)
 
-    def _instance_of(self, stored: StoredObject) -> str:
+    def _instance_id(self, stored: StoredObject) -> str:
         return stored.key.removeprefix(self._deployment.upstream_prefix)
 
-    def _reduced(self, stored: StoredObject) -> StoredObject:
+    def _with_parsed_value(self, stored: StoredObject) -> StoredObject:
         return replace(stored, value=self._read_upstream(stored))
 
     def _read_upstream(self, stored: StoredObject) -> Upstream | str:
-        """Return the upstream that a registration names, or why it names none."""
-        name = self._instance_of(stored)
+        """Return the upstream that a registration describes, or the reason why it is unusable."""
+        name = self._instance_id(stored)
         known = self._unusable.get(name)
         if known is not None and known[0] == stored.version:
             return known[1]
         try:
             return self._deployment.read_upstream(name, stored.value)
         except UnusableRecordError as error:
-            reason = shown(str(error), REASON_KEPT)
-        if len(self._unusable) >= UNUSABLE_KEPT:
+            reason = shown(str(error), MAX_REASON_CHARS)
+        if len(self._unusable) >= MAX_UNUSABLE_CACHED:
             self._unusable.clear()
         self._unusable[name] = (stored.version, reason)
         return reason
 
-    def _upstreams_regained(self) -> None:
+    def _on_store_regained(self) -> None:
         with self._upstreams_lock:
             self._upstreams.regained(self._clock.now())
--- a/packages/node/src/carobspool_node/direct/_deployment.py
+++ b/packages/node/src/carobspool_node/direct/_deployment.py
@@ -1,4 +1,4 @@
-"""What an adapter tells a direct entry about the deployment it runs on."""
+"""What a platform adapter supplies to a direct entry or a keeper."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ReadResults(Struct, frozen=True, kw_only=True):
-    """A caller reads results of a job."""
+    """A call that reads results of a job."""
 
     job_id: str
     after: int
@@ -23,14 +23,14 @@
 
 
 class ReadBody(Struct, frozen=True, kw_only=True):
-    """A caller reads the body of an item."""
+    """A call that reads the body of an item."""
 
     job_id: str
     item_id: str
 
 
 class EndJob(Struct, frozen=True, kw_only=True):
-    """A caller ends a job."""
+    """A call that ends a job."""
 
     job_id: str
 
@@ -39,24 +39,24 @@
 
 
 class CallerDialect(Protocol):
-    """How callers spell calls on batch jobs."""
+    """Parses and answers callers' calls on batch jobs in the platform's format."""
 
     def job_call(self, request: CallerRequest) -> JobCall | None:
-        """Return the call on a job that a request makes, ``None`` when it makes none.
+        """Return the call on a job that a request makes, ``None`` if it is no such call.
 
         Raises:
-            BadRequestError: It is one, but improper.
+            BadRequestError: The request is a call on a job, but an invalid one.
         """
 
     def job_items(self, body: bytes) -> Sequence[JobItem]:
         """Return the items of a submission.
 
         Raises:
-            BadRequestError: It is improper.
+            BadRequestError: The submission is invalid.
         """
 
     def results(self, page: ResultsPage) -> bytes:
-        """Return the body that answers a read; may leave out results that would make it long."""
+        """Return the body that answers a read; it may omit results that would make it too long."""
 
 
 class Deployment(Struct, frozen=True, kw_only=True):
@@ -64,16 +64,16 @@
 
     Attributes:
         headers: Header names of callers and upstreams.
-        dialect: Calls on batch jobs.
+        dialect: Format of calls on batch jobs.
         open_store: Opens the object store.
-        configuration_key: Where the operator's configuration lies.
-        read_configuration: Reads it; raises `UnusableRecordError` for what is none.
-        upstream_prefix: Where the registrations of upstreams lie.
-        read_upstream: Reads one; the name comes first. Raises `UnusableRecordError` for what names
-            no upstream.
-        retirement_prefix: Where requests to empty a host lie.
-        retired: Status of a host that holds nothing any more.
-        ready_path: What the balancer asks.
+        configuration_key: Key of the operator's configuration in the store.
+        read_configuration: Parses the configuration; raises `UnusableRecordError` if it is invalid.
+        upstream_prefix: Key prefix of the upstreams' registrations.
+        read_upstream: Parses a registration, given its name and value; raises
+            `UnusableRecordError` if it is invalid.
+        retirement_prefix: Key prefix of requests to empty a host.
+        retired: Status object that reports a host as empty.
+        ready_path: Path of the load balancer's health check.
     """
 
     headers: HeaderNames
--- a/packages/node/src/carobspool_node/direct/_entry.py
+++ b/packages/node/src/carobspool_node/direct/_entry.py
@@ -1,4 +1,4 @@
-"""The direct entry: its parts, its start and its end."""
+"""The direct entry: construction, start, periodic work and shutdown."""
 
 from __future__ import annotations
 
@@ -56,19 +56,19 @@
 CALLER_WORKERS = 400
 PEER_WORKERS = 100
 STACK_BYTES = 256 * 1024
-"""Stack of a thread; there is one for each connection, and the default would reserve 8 MB each."""
-TIDY_INTERVAL_S = 1.0
+"""Stack size of a thread. Each connection has a thread; the default would reserve 8 MB for each."""
+CLEANUP_INTERVAL_S = 1.0
 POLL_INTERVAL_S = 2.0
-"""Time between two readings of what the watches should have told. A watch can hear nothing while
-changes are made and look alive; the store may then drop that history, and the next watch goes on
-behind the gap. One entry reads for all, and its hints show the others that they have missed
-something, so that a change is known within some three seconds at the price of one call a second."""
+"""Time between two full reads of the watched objects. A watch can deliver no changes and still look
+healthy; the store may then drop that part of its history, and the next watch resumes after the gap.
+One entry reads for all entries, and its hints show the others that they have missed a change, so
+that a change is known within some three seconds at the price of one call a second."""
 POLL_DUTY = "poll"
 RETENTION_DUTY = "retention"
 
 
 class DirectEntry:
-    """One entry that calls upstreams directly."""
+    """An entry that calls upstreams directly."""
 
     def __init__(
         self, settings: DirectSettings, deployment: Deployment, reload: SettingsReload
@@ -117,8 +117,8 @@
             deployment,
             self._telemetry,
             on_duty=lambda: self._membership.follows_store(),
-            on_configuration=self._take_configuration,
-            on_restarted=self._upstream_restarted,
+            on_configuration=self._on_configuration,
+            on_restarted=self._on_upstream_restarted,
         )
         self._membership = Membership(
             self._clock,
@@ -215,7 +215,7 @@
         )
 
     def run(self) -> int:
-        """Run until told to stop; return the exit code."""
+        """Run until SIGTERM arrives; return the exit code."""
         settings = self._settings
         threading.stack_size(STACK_BYTES)
         self._telemetry.start_logs(settings.node, settings.log_level)
@@ -228,11 +228,11 @@
         self._stop.listen()
         self._reload.listen()
         serve_metrics((settings.address, settings.metrics_port), self._telemetry, self._clock)
-        callers = self._listen()
+        callers = self._start_listeners()
         self._loads.on_own_change(self._peers.loads_changed)
         self._peers.start(
             PeerEvents(
-                loads=self._take_loads,
+                loads=self._adopt_peer_loads,
                 backlog=self._runner.take_backlog,
                 versions=self._compare_versions,
                 lost=self._recovery.peer_lost,
@@ -245,15 +245,15 @@
         self._runner.start()
         self._membership.start()
         self._recovery.start(first_start=settings.first_start)
-        threading.Thread(target=self._poll, name="poll", daemon=True).start()
-        while not self._stop.wait(TIDY_INTERVAL_S):
-            self._tidy()
+        threading.Thread(target=self._run_poll, name="poll", daemon=True).start()
+        while not self._stop.wait(CLEANUP_INTERVAL_S):
+            self._clean_up()
             self._reload.check()
         self._leaving.set()
         self._exit.run(callers)
         return 0
 
-    def _listen(self) -> Listener:
+    def _start_listeners(self) -> Listener:
         settings = self._settings
         assert settings.callers is not None and settings.ready is not None
         callers = Listener(
@@ -261,7 +261,7 @@
             workers=CALLER_WORKERS,
             clock=self._clock,
             names=self._deployment.headers,
-            limits=self._limits,
+            limits=self._caller_limits,
             handle=self._api.handle,
         )
         ready = Listener(
@@ -288,7 +288,7 @@
         self._views.compare(peer, versions)
         self._membership.compare(versions)
 
-    def _take_loads(
+    def _adopt_peer_loads(
         self,
         peer: str,
         loads: Mapping[str, Load],
@@ -302,11 +302,11 @@
         configuration = self._declared.configuration
         return None if configuration is None else configuration.organisations
 
-    def _take_configuration(self) -> None:
+    def _on_configuration(self) -> None:
         self._quota.configure(self._directory())
         self._peers.announce()
 
-    def _upstream_restarted(self, upstream: Upstream) -> None:
+    def _on_upstream_restarted(self, upstream: Upstream) -> None:
         ended = self._connections.calls.end_calls_to_earlier_starts(upstream)
         logging.info(
             "event=upstream_restarted upstream=%s started=%d service=%s calls_ended=%d",
@@ -318,8 +318,8 @@
         self._telemetry.count("upstream_restarts", service=upstream.service)
         self._loads.restarted(upstream)
 
-    def _poll(self) -> None:
-        """Read what the watches should have told, on behalf of all entries."""
+    def _run_poll(self) -> None:
+        """Read the store periodically on behalf of all entries, in case a watch misses a change."""
         while not self._leaving.wait(POLL_INTERVAL_S):
             try:
                 if self._membership.has_duty(POLL_DUTY):
@@ -329,7 +329,10 @@
                 logging.exception("event=poll_failed")
 
     def _urgent_state(self) -> Hashable:
-        """Return what the others are to know at once, beside what is in flight."""
+        """Return a value that changes when other entries must be told at once.
+
+        Changes of the requests in flight are announced separately.
+        """
         return (
             tuple(self._declared.digests().values()),
             sum(self._loads.own_failures().values()),
@@ -354,14 +357,14 @@
             backlog=self._runner.backlog(),
         )
 
-    def _tidy(self) -> None:
+    def _clean_up(self) -> None:
         identities = self._declared.identities()
         self._connections.forget(identities)
         self._loads.forget(identities)
         self._quota.tidy()
         self._peer_caller.forget({peer.identity for peer in self._peers.live()})
 
-    def _limits(self) -> CallerLimits:
+    def _caller_limits(self) -> CallerLimits:
         configuration = self._declared.configuration
         return configuration.limits if configuration is not None else CallerLimits()
 
@@ -377,11 +380,11 @@
 
 
 def make_direct_entry(settings: DirectSettings, deployment: Deployment, path: Path) -> DirectEntry:
-    """Return an entry that is not running yet.
+    """Return an entry that is not started yet.
 
     Args:
-        settings: Its settings.
-        deployment: The platform that it runs on.
-        path: Where the settings come from, to take changes over.
+        settings: The entry's settings.
+        deployment: The platform that the entry runs on.
+        path: File of the settings, which is checked for changes.
     """
     return DirectEntry(settings, deployment, SettingsReload(path, settings))
--- a/packages/node/src/carobspool_node/direct/_exit.py
+++ b/packages/node/src/carobspool_node/direct/_exit.py
@@ -1,7 +1,7 @@
-"""The end of an entry that was asked to stop.
+"""Graceful shutdown of an entry.
 
-It serves on until the balancer has taken it out and its batch jobs have another owner, then takes
-nothing more, answers what it has taken, and is gone before it would be killed.
+The entry continues to serve until the load balancer has removed it and its batch jobs have another
+owner. It then refuses new requests, answers those in progress, and exits before it would be killed.
 """
 
 from __future__ import annotations
@@ -19,30 +19,31 @@
 from carobspool_node.direct._peers import Peers
 from carobspool_node.direct._telemetry import Telemetry
 
-MIN_DRAIN: Millis = 2_500.0
-"""How long a leaving entry serves on: the balancer needs two misses, a second apart, to take it
-out, and callers use open connections until then."""
+MIN_DRAIN_TIME: Millis = 2_500.0
+"""Least time for which an entry continues to serve after the signal. The load balancer removes it
+after two failed health checks, a second apart, and callers use open connections until then."""
 EXIT_MARGIN: Millis = 1_200.0
-"""Time before the kill at which a leaving entry exits whatever still runs. It then needs up to
-1.0 s: the last commits 0.4 s, the last log lines 0.5 s, refusals under way 0.1 s."""
-LAST_COMMITS: Millis = 1_500.0
-"""How long it waits for commits of jobs that it gives up: one call to a store that does not answer.
-What is not committed then is run again by the next owner."""
-COMMITS_AT_EXIT: Millis = 400.0
-"""The same when it is about to be gone: a call to a slow store takes 0.3 s."""
-POLL_S = 0.05
-CUT_LINES = 50
-"""Requests cut by the exit that are logged one by one; the count in the last line holds all."""
+"""Time before the kill at which the entry exits even if requests are in progress. The exit takes up
+to 1.0 s: 0.4 s for the last commits, 0.5 s for the last log lines, 0.1 s for refusals in progress.
+"""
+HANDOVER_COMMIT_TIMEOUT: Millis = 1_500.0
+"""How long the entry waits for commits of the jobs that it hands over: the duration of one call to
+a store that does not answer. The next owner runs again what was not committed."""
+EXIT_COMMIT_TIMEOUT: Millis = 400.0
+"""How long the entry waits for commits at its exit: a call to a slow store takes 0.3 s."""
+POLL_INTERVAL_S = 0.05
+MAX_CUT_LOG_LINES = 50
+"""Number of cut requests that are logged one by one; the ``event=stop`` line counts all of them."""
 
 
 class EntryExit:
-    """Leads an entry to its exit.
+    """Shuts an entry down.
 
     Args:
         clock: The process's clock.
-        runner: Works on the owned jobs.
+        runner: Runs the jobs that this entry owns.
         peers: The other entries.
-        telemetry: Logs.
+        telemetry: Flushes the log.
         limit: Time between the signal to stop and the kill.
     """
 
@@ -59,46 +60,46 @@
         self._runner = runner
         self._peers = peers
         self._telemetry = telemetry
-        self._limit = limit
+        self._kill_after = limit
         self._exit_at: Millis | None = None
 
     @property
     def time_left(self) -> Millis | None:
-        """Time until the process exits at the latest, ``None`` when it is not leaving."""
+        """Time until the latest exit of the process, ``None`` if it is not shutting down."""
         return None if self._exit_at is None else self._exit_at - self._clock.now()
 
     def run(self, callers: Listener) -> None:
-        """Leave; the process can end when this returns."""
+        """Shut down; the process can exit when this returns."""
         logging.info("event=stop_requested busy=%d", callers.busy)
-        began = self._clock.now()
-        self._exit_at = began + self._limit - EXIT_MARGIN
+        started = self._clock.now()
+        self._exit_at = started + self._kill_after - EXIT_MARGIN
         callers.drain()
         self._peers.announce()
-        self._serve_on(callers, began)
+        self._serve_until_drained(callers, started)
         cut = callers.close()
-        self._runner.stop(COMMITS_AT_EXIT)
+        self._runner.stop(EXIT_COMMIT_TIMEOUT)
         self._peers.stop()
-        self._log_cut(cut)
+        self._log_cut_requests(cut)
         logging.info(
             "event=stop busy=%d cut=%d open=%d took_ms=%.0f",
             callers.busy,
             len(cut),
             callers.open_connections,
-            self._clock.now() - began,
+            self._clock.now() - started,
         )
         self._telemetry.stop_logs()
         callers.close_socket()
 
-    def _serve_on(self, callers: Listener, began: Millis) -> None:
+    def _serve_until_drained(self, callers: Listener, started: Millis) -> None:
         while (time_left := self.time_left) is not None and time_left > 0:
-            has_jobs = self._hand_jobs_over(time_left)
-            drained = self._clock.now() - began >= MIN_DRAIN
+            has_jobs = self._hand_over_jobs(time_left)
+            drained = self._clock.now() - started >= MIN_DRAIN_TIME
             if drained and not has_jobs and callers.close_if_idle():
                 return
-            threading.Event().wait(POLL_S)
+            threading.Event().wait(POLL_INTERVAL_S)
 
-    def _hand_jobs_over(self, time_left: Millis) -> bool:
-        """Give up the open jobs if it is time; return whether this entry still works on some."""
+    def _hand_over_jobs(self, time_left: Millis) -> bool:
+        """Hand over the open jobs if possible; return whether this entry keeps some of them."""
         if not self._runner.job_ids(finished=False):
             return False
         now = self._clock.now()
@@ -108,14 +109,14 @@
         ]
         if not lets_jobs_go(successors, time_left=time_left, silent_after=SILENT_AFTER):
             return True
-        self._runner.let_go(min(LAST_COMMITS, time_left))
+        self._runner.let_go(min(HANDOVER_COMMIT_TIMEOUT, time_left))
         self._peers.announce()
         return False
 
-    def _log_cut(self, cut: Sequence[CallerRequest]) -> None:
-        """Name the requests that the exit cuts; their own last line is never written."""
+    def _log_cut_requests(self, cut: Sequence[CallerRequest]) -> None:
+        """Log the requests that the exit cuts; their ``event=request`` line is never written."""
         now = self._clock.now()
-        for request in cut[:CUT_LINES]:
+        for request in cut[:MAX_CUT_LOG_LINES]:
             logging.warning(
                 "event=exit_cut request=%s host=%s path=%s age_ms=%.0f",
                 request.request_id,
--- a/packages/node/src/carobspool_node/direct/_keeper.py
+++ b/packages/node/src/carobspool_node/direct/_keeper.py
@@ -1,4 +1,4 @@
-"""The process on hosts with a disk: it keeps nothing there, so it lets them go when asked."""
+"""The keeper: confirms that a host may be retired, since no data is stored on the host."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 from carobspool_node.direct._telemetry import Telemetry
 
 CHECK_INTERVAL_S = 4.0
-"""Time between two looks at the settings file and two readings of the requests. A watch can hear
-nothing and look alive for its 30 s, while a host is to be empty some eight seconds after it was
-asked; a reading is one call."""
+"""Time between two checks of the settings file and two reads of the retirement requests. A watch
+can deliver nothing and look healthy for its 30 s, but a host must be released some eight seconds
+after the request. A read is one call."""
 
 
 class Keeper:
-    """Answers requests to empty a host: everything that lasts lies in the object store."""
+    """Answers requests to empty a host; all durable data is in the object store."""
 
     def __init__(
         self, settings: DirectSettings, deployment: Deployment, reload: SettingsReload
@@ -36,16 +36,16 @@
         self._store = deployment.open_store(settings, self._clock)
         self._telemetry = Telemetry()
         self._stop = StopSignal()
-        self._answered: set[int] = set()
+        self._answered_versions: set[int] = set()
         self._follower = Follower(
             self._store,
             deployment.retirement_prefix,
-            on_listing=self._listed,
-            on_change=self._changed,
+            on_listing=self._on_listing,
+            on_change=self._on_change,
         )
 
     def run(self) -> int:
-        """Run until told to stop; return the exit code."""
+        """Run until SIGTERM arrives; return the exit code."""
         settings = self._settings
         self._telemetry.start_logs(settings.node, settings.log_level)
         logging.info("event=start node=%s role=keeper", settings.node)
@@ -60,26 +60,26 @@
         self._telemetry.stop_logs()
         return 0
 
-    def _listed(self, objects: Sequence[StoredObject]) -> None:
-        self._answered &= {each.version for each in objects}
+    def _on_listing(self, objects: Sequence[StoredObject]) -> None:
+        self._answered_versions &= {each.version for each in objects}
         for each in objects:
-            if each.version not in self._answered:
-                self._let_go(each)
+            if each.version not in self._answered_versions:
+                self._release_host(each)
 
-    def _changed(self, change: ObjectChange) -> None:
+    def _on_change(self, change: ObjectChange) -> None:
         if not change.deleted:
-            self._let_go(change.object)
+            self._release_host(change.object)
 
-    def _let_go(self, request: StoredObject) -> None:
-        # Each keeper answers, and each answer is told to all of them once more. The store takes a
-        # write that changes nothing without a new event, so this comes to rest by itself.
+    def _release_host(self, request: StoredObject) -> None:
+        # Every keeper answers, and each answer is a change that all keepers receive. The store
+        # reports no change for a write that alters nothing, so the answers stop by themselves.
         key = f"{request.key}/status"
         written = self._store.update(key, self._deployment.retired, version=request.version)
         if is_successful(written):
-            self._answered.add(written.unwrap().version)
-        logging.info("event=host_let_go host=%s done=%s", request.key, is_successful(written))
+            self._answered_versions.add(written.unwrap().version)
+        logging.info("event=host_released host=%s done=%s", request.key, is_successful(written))
 
 
 def make_keeper(settings: DirectSettings, deployment: Deployment, path: Path) -> Keeper:
-    """Return a keeper that is not running yet; ``path`` is where its settings come from."""
+    """Return a keeper that is not started yet; ``path`` is the file of its settings."""
     return Keeper(settings, deployment, SettingsReload(path, settings))
