--- a/packages/node/src/carobspool_node/direct/_messages.py
+++ b/packages/node/src/carobspool_node/direct/_messages.py
@@ -1,4 +1,4 @@
-"""Requests and answers as the forwarding code sees them, and the header names of a deployment."""
+"""Requests, answers and header names used by the forwarding code."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 Headers = list[tuple[bytes, bytes]]
 AUTHORIZATION = b"authorization"
 
-_ONE_CONNECTION_ONLY = frozenset(
+_HOP_BY_HOP_HEADERS = frozenset(
     (
         b"connection",
         b"keep-alive",
@@ -27,17 +27,17 @@
 
 
 class HeaderNames(Struct, frozen=True, kw_only=True):
-    """Names, in lower case, of the headers that entries read or set.
+    """Names of the headers that entries read or set, in lower case.
 
     Attributes:
         request_id: The caller's id of one attempt; upstreams echo it.
-        deadline: Milliseconds that are left for a request.
-        expect_instance: Instance that a request is meant for.
-        not_run: In an answer: the upstream did not run the request.
-        signature: In an answer: the upstream made it.
-        last_event: Id of the last event that was received of a stream.
-        wait: Milliseconds that a read may be kept waiting.
-        organisation: Name of the caller's organisation; set for upstreams.
+        deadline: Milliseconds left for a request.
+        expect_instance: Id of the upstream that the request is meant for.
+        not_run: In an answer: shows that the upstream did not run the request.
+        signature: In an answer: shows that an upstream produced it.
+        last_event: Id of the last event received from a stream.
+        wait: Milliseconds for which a read may wait for results.
+        organisation: Name of the caller's organisation; set in requests to upstreams.
     """
 
     request_id: bytes = b"request-id"
@@ -51,7 +51,7 @@
 
 
 class CallerRequest(Struct, frozen=True, kw_only=True):
-    """One request of a caller, read whole."""
+    """A caller's request, including its whole body."""
 
     method: bytes
     target: bytes
@@ -64,19 +64,19 @@
     query: str
 
     def header(self, name: bytes) -> bytes | None:
-        """Return the value of a header, ``None`` when it is not there."""
+        """Return the first value of a header, ``None`` if the header is absent."""
         return find_header(self.headers, name)
 
     def header_values(self, name: bytes) -> list[bytes]:
-        """Return the values of all headers of a name given in lower case."""
+        """Return the values of all headers called ``name``, which is in lower case."""
         return [value for key, value in self.headers if key.lower() == name]
 
     def time_limit(self, name: bytes, limit: Millis) -> Millis:
-        """Return how long the caller waits.
+        """Return how long the caller waits for its answer.
 
         Args:
-            name: Header in which it says so.
-            limit: Longest time in any case.
+            name: Header that contains the caller's limit.
+            limit: Upper limit, and the result if the header is absent or invalid.
         """
         value = self.header(name)
         if value is None or not value.isdigit():
@@ -92,7 +92,7 @@
     reason: bytes = b""
 
     def header(self, name: bytes) -> bytes | None:
-        """Return the value of a header, ``None`` when it is not there."""
+        """Return the first value of a header, ``None`` if the header is absent."""
         return find_header(self.headers, name)
 
     @property
@@ -102,7 +102,7 @@
 
 
 def find_header(headers: Iterable[tuple[bytes, bytes]], name: bytes) -> bytes | None:
-    """Return the first value of a header whose name is given in lower case."""
+    """Return the first value of the header ``name``, which is in lower case."""
     for key, value in headers:
         if key.lower() == name:
             return value
@@ -110,12 +110,13 @@
 
 
 def with_organisation(headers: Headers, names: HeaderNames, organisation: str | None) -> Headers:
-    """Return headers as an upstream sees them: who calls, and no key.
+    """Return headers with the caller's API key replaced by its organisation's name.
 
     Args:
-        headers: As the caller sent them.
+        headers: Headers as the caller sent them.
         names: Header names of the deployment.
-        organisation: The caller's; empty when it has none, ``None`` when none are declared.
+        organisation: Name of the caller's organisation; empty if the caller has none, ``None`` if
+            no organisations are declared, in which case the headers are returned unchanged.
     """
     if organisation is None:
         return headers
@@ -127,10 +128,10 @@
 
 
 def end_to_end(headers: Iterable[tuple[bytes, bytes]], *, without: Iterable[bytes] = ()) -> Headers:
-    """Return the headers that are passed on: all but those that concern one connection."""
+    """Return the headers to forward: all but hop-by-hop headers and those in ``without``."""
     headers = list(headers)
-    named = find_header(headers, b"connection") or b""
-    dropped = {each.strip().lower() for each in named.split(b",")}
-    dropped |= _ONE_CONNECTION_ONLY
+    connection_options = find_header(headers, b"connection") or b""
+    dropped = {each.strip().lower() for each in connection_options.split(b",")}
+    dropped |= _HOP_BY_HOP_HEADERS
     dropped |= set(without)
     return [(key, value) for key, value in headers if key.lower() not in dropped]
--- a/packages/node/src/carobspool_node/direct/_metrics.py
+++ b/packages/node/src/carobspool_node/direct/_metrics.py
@@ -1,8 +1,8 @@
-"""Counters and latency histograms of one process, as text for Prometheus.
+"""Counters and latency histograms of one process, in the Prometheus text format.
 
-They are counted here and handed to the library when somebody asks for the text: it brings an HTTP
-server and client of its own, and a process that starts again after a crash serves nobody while it
-imports them.
+The values are kept here and passed to prometheus_client only when the text is requested. That
+library imports an HTTP server and client, and a process that restarts after a crash cannot serve
+requests while it imports them.
 """
 
 from __future__ import annotations
@@ -38,8 +38,8 @@
 _TIMES = ("request", "first_event", "job_commit", "item_run", "job_orphan")
 
 
-class _Latencies:
-    """How many durations fell into each bucket, and their sum in seconds."""
+class _Histogram:
+    """The number of durations in each bucket, and the sum of all durations in seconds."""
 
     __slots__ = ("counts", "total")
 
@@ -49,14 +49,14 @@
 
 
 class Metrics:
-    """What one process counts; safe for threads."""
+    """The metrics of one process; safe to use from several threads."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        # The library is imported by the first of them; two threads at once would meet it half done.
-        self._writing = threading.Lock()
+        # The first export imports the library; a second thread would find it partly imported.
+        self._export_lock = threading.Lock()
         self._counts: dict[str, Counter[tuple[str, ...]]] = {name: Counter() for name in _LABELS}
-        self._times = {name: _Latencies() for name in _TIMES}
+        self._times = {name: _Histogram() for name in _TIMES}
 
     def count(self, name: str, value: int = 1, **labels: str) -> None:
         """Add to a counter."""
@@ -73,14 +73,14 @@
             latencies.total += seconds
 
     def text(self) -> bytes:
-        """Return all metrics as text."""
-        with self._writing:
+        """Return all metrics in the Prometheus text format."""
+        with self._export_lock:
             registry = prometheus.CollectorRegistry(auto_describe=False)
             registry.register(self)
             return bytes(prometheus.generate_latest(registry))
 
     def collect(self) -> Iterator[Any]:
-        """Yield each metric, as the library's registry asks for them."""
+        """Yield each metric; called by the library's registry."""
         with self._lock:
             counts = {name: dict(found) for name, found in self._counts.items()}
             times = {name: (list(each.counts), each.total) for name, each in self._times.items()}
@@ -102,7 +102,7 @@
 
 
 def _cumulative(counts: list[int]) -> list[tuple[str, float]]:
-    """Return for each upper bound how many durations were no longer."""
+    """Return each bucket's upper bound with the number of durations up to that bound."""
     found: list[tuple[str, float]] = []
     seen = 0
     for bound, count in zip((*map(str, _LATENCY_BUCKETS_S), "+Inf"), counts, strict=True):
--- a/packages/node/src/carobspool_node/direct/_metrics_server.py
+++ b/packages/node/src/carobspool_node/direct/_metrics_server.py
@@ -1,4 +1,4 @@
-"""The metrics of a process as text over HTTP."""
+"""Serves the metrics of a process as text over HTTP."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 PATH = "/metrics"
 WORKERS = 4
-"""Connections served at once; a collector may keep one open between two readings."""
+"""Connections served at once; a collector may keep its connection open between two scrapes."""
 _CONTENT_TYPE = (b"Content-Type", b"text/plain; version=0.0.4")
 
 
 def serve_metrics(address: tuple[str, int], telemetry: Telemetry, clock: Clock) -> None:
-    """Serve a process's metrics until it ends."""
+    """Start to serve the metrics; they are served until the process ends."""
 
     def handle(request: CallerRequest, caller: CallerConnection) -> None:
         if request.path != PATH:
--- a/packages/node/src/carobspool_node/direct/_reload.py
+++ b/packages/node/src/carobspool_node/direct/_reload.py
@@ -1,4 +1,4 @@
-"""Taking over changed settings, on SIGHUP and when the file changes without a signal."""
+"""Reloads the settings file on SIGHUP and when the file changes without a signal."""
 
 from __future__ import annotations
 
@@ -11,37 +11,37 @@
 
 from carobspool_node.direct._settings import DirectSettings, load_direct_settings
 
-LIVE = frozenset(("log_level",))
-"""Settings that a running process takes over; the others need a restart and are logged."""
+RELOADABLE = frozenset(("log_level",))
+"""Settings that apply without a restart. Changes of the others are logged as needing a restart."""
 
 
 class SettingsReload:
-    """Follows one settings file.
+    """Detects and applies changes of a settings file.
 
     Args:
-        path: The file.
-        settings: What the process runs with.
+        path: The settings file.
+        settings: The settings that are in use.
     """
 
     def __init__(self, path: Path, settings: DirectSettings) -> None:
         self._path = path
         self._settings = settings
-        self._stamp = self._read_stamp()
-        self._signals = 0
-        self._signals_seen = 0
+        self._file_stamp = self._read_stamp()
+        self._signal_count = 0
+        self._handled_signal_count = 0
 
     def listen(self) -> None:
-        """Take SIGHUP as the word that the file has changed."""
-        signal.signal(signal.SIGHUP, self._take_signal)
+        """Install a SIGHUP handler that requests a reload at the next `check`."""
+        signal.signal(signal.SIGHUP, self._count_signal)
 
     def check(self) -> None:
-        """Reload when the file has changed or a signal has come; call it now and then."""
+        """Reload if the file has changed or SIGHUP has arrived; must be called periodically."""
         stamp = self._read_stamp()
-        signals = self._signals
-        if stamp == self._stamp and signals == self._signals_seen:
+        signals = self._signal_count
+        if stamp == self._file_stamp and signals == self._handled_signal_count:
             return
-        self._stamp = stamp
-        self._signals_seen = signals
+        self._file_stamp = stamp
+        self._handled_signal_count = signals
         loaded = load_direct_settings(self._path)
         if not is_successful(loaded):
             for problem in loaded.failure():
@@ -49,20 +49,20 @@
             return
         self._apply(loaded.unwrap())
 
-    def _take_signal(self, number: int, frame: FrameType | None) -> None:
-        # Only counts: a handler must not ask for a lock that the main task may hold.
-        self._signals += 1
+    def _count_signal(self, number: int, frame: FrameType | None) -> None:
+        # Only counts: a signal handler must not acquire a lock that the main task may hold.
+        self._signal_count += 1
 
     def _apply(self, new: DirectSettings) -> None:
         names = DirectSettings.__struct_fields__
         changed = [name for name in names if getattr(new, name) != getattr(self._settings, name)]
-        later = sorted(set(changed) - LIVE)
+        needs_restart = sorted(set(changed) - RELOADABLE)
         self._settings = new
         logging.set_verbosity(new.log_level)
         logging.info(
             "event=reload done=True changed=%s needs_restart=%s",
             ",".join(changed) or "nothing",
-            ",".join(later) or "nothing",
+            ",".join(needs_restart) or "nothing",
         )
 
     def _read_stamp(self) -> tuple[int, int]:
--- a/packages/node/src/carobspool_node/direct/_settings.py
+++ b/packages/node/src/carobspool_node/direct/_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a direct entry: a validated model at the border, a data class inside."""
+"""Settings of a direct entry or a keeper: the model of the file, and the validated values."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class DirectModel(Record, unknown_keys="forbid"):
-    """Settings of a direct entry or a keeper."""
+    """Model of the settings file of a direct entry or a keeper."""
 
     role: Literal["direct-entry", "keeper"] = field(description="The process's role.", unit="name")
     node: _NodeName = field(description="Name of this process, unique in the system.", unit="name")
@@ -72,22 +72,22 @@
 
 
 class DirectSettings(Struct, frozen=True, kw_only=True):
-    """Settings of a process.
+    """Validated settings of a process.
 
     Attributes:
         role: ``direct-entry`` or ``keeper``.
-        node: Its name.
-        failure_domain: Where it runs.
-        address: IP number of the host.
-        callers: Where callers connect; an entry has one.
-        ready: Where the balancer asks whether it is ready.
+        node: Name of the process.
+        failure_domain: Failure domain of the process.
+        address: IP address of the host.
+        callers: Address that callers connect to; required for an entry.
+        ready: Address of the load balancer's health check; required for an entry.
         peer_port: Port for hints and calls between entries.
         object_api: Address of the object store.
-        value_limit: Longest object, in bytes.
+        value_limit: Maximum size of a stored object, in bytes.
         shutdown_limit: Time between the signal to stop and the kill.
         job_retention: How long the results of a finished job stay readable.
-        first_start: Whether the whole system starts for the first time.
-        metrics_port: Port of the metrics.
+        first_start: Whether the whole system starts for the first time, with an empty store.
+        metrics_port: Port on which metrics are served.
         log_level: Least severe level that is logged.
     """
 
@@ -108,7 +108,11 @@
 
 
 def load_direct_settings(path: Path) -> Result[DirectSettings, tuple[Problem, ...]]:
-    """Read a settings file; every error comes at once."""
+    """Read a settings file.
+
+    Returns:
+        The settings, or the problems found in the file. Invalid fields are reported together.
+    """
     value = read_json(path)
     if not is_successful(value):
         return Failure((value.failure(),))
@@ -116,9 +120,9 @@
     if not is_successful(checked):
         return Failure(tuple(checked.failure()))
     model = checked.unwrap()
-    missing = _missing(model)
-    if missing:
-        return Failure(tuple(_problem(path, name) for name in missing))
+    unusable = _unusable_endpoints(model)
+    if unusable:
+        return Failure(tuple(_problem(path, name) for name in unusable))
     return Success(
         DirectSettings(
             role=model.role,
@@ -139,8 +143,8 @@
     )
 
 
-def _missing(model: DirectModel) -> list[str]:
-    """Return the names of endpoints that a role needs and that are absent or no endpoint."""
+def _unusable_endpoints(model: DirectModel) -> list[str]:
+    """Return the names of endpoints that the role requires and that are absent or invalid."""
     needed = {"object_api": model.object_api}
     if model.role == "direct-entry":
         needed |= {"callers": model.callers or "", "ready": model.ready or ""}
--- a/packages/node/src/carobspool_node/direct/_stop_signal.py
+++ b/packages/node/src/carobspool_node/direct/_stop_signal.py
@@ -1,8 +1,8 @@
-"""The signal to stop, taken without a lock.
+"""Handles the signal to stop without acquiring a lock.
 
-Failure: a handler runs on the main task, wherever that stands. One that set the event on which the
-main task waits could come while the main task held that event's lock; both then waited for ever,
-and the process was killed with all that it served. Putting into a simple queue takes no such lock.
+A signal handler runs on the main task, between any two of its instructions. A handler that sets a
+`threading.Event` can run while the main task holds the lock of that event. It then deadlocks, and
+the process is killed with all requests in progress. `queue.SimpleQueue.put` acquires no such lock.
 """
 
 from __future__ import annotations
@@ -15,16 +15,16 @@
     """Waits for SIGTERM on the main task."""
 
     def __init__(self) -> None:
-        self._asked: queue.SimpleQueue[int] = queue.SimpleQueue()
+        self._stop_requests: queue.SimpleQueue[int] = queue.SimpleQueue()
 
     def listen(self) -> None:
-        """Take SIGTERM as the word to stop."""
-        signal.signal(signal.SIGTERM, lambda number, _: self._asked.put(number))
+        """Install the SIGTERM handler."""
+        signal.signal(signal.SIGTERM, lambda number, _: self._stop_requests.put(number))
 
     def wait(self, timeout_s: float) -> bool:
-        """Wait up to ``timeout_s`` seconds; return whether the process is to stop."""
+        """Wait up to ``timeout_s`` seconds for SIGTERM; return whether it has arrived."""
         try:
-            self._asked.get(timeout=timeout_s)
+            self._stop_requests.get(timeout=timeout_s)
         except queue.Empty:
             return False
         return True
--- a/packages/node/src/carobspool_node/direct/_telemetry.py
+++ b/packages/node/src/carobspool_node/direct/_telemetry.py
@@ -1,7 +1,8 @@
-"""Logs to standard output and metrics of a direct entry.
+"""Logs to standard output, and metrics, of a direct entry or a keeper.
 
-Lines go through a bounded queue to a task that writes them, so that a slow reader of standard
-output never holds a request back; what does not fit is counted and the count is logged.
+A separate thread writes the log lines, which it receives through a bounded queue. A slow reader of
+standard output therefore never delays a request. Lines that do not fit into the queue are dropped
+and counted in a metric.
 """
 
 from __future__ import annotations
@@ -21,10 +22,11 @@
 from carobspool_node.settings import LineFormatter
 
 LOG_QUEUE_LINES = 2_000
-"""Lines that may wait to be written: some seconds of an entry under five times its usual load."""
-LAST_LINES_S = 0.5
-"""How long an exit waits for its last lines. Without a limit a reader that had stopped held the
-process until it was killed, and requests with it; writing 2,000 lines takes some 20 ms."""
+"""Capacity of the queue of log lines: some seconds of output under five times the usual load."""
+FLUSH_TIMEOUT_S = 0.5
+"""How long the exit waits for the last log lines to be written. Without a limit, a reader that has
+stopped blocks the process, and the requests in progress, until the process is killed. Writing 2,000
+lines takes some 20 ms."""
 
 
 class _DroppingHandler(QueueHandler):
@@ -42,7 +44,7 @@
 
 
 class Telemetry:
-    """Counters and latency histograms of one process, and its log."""
+    """The metrics and the log of one process."""
 
     def __init__(self) -> None:
         self._metrics = Metrics()
@@ -57,11 +59,11 @@
         self._metrics.time(name, duration)
 
     def text(self) -> bytes:
-        """Return all metrics as text."""
+        """Return all metrics in the Prometheus text format."""
         return self._metrics.text()
 
     def start_logs(self, node: str, level: str) -> None:
-        """Send the process's logs to standard output."""
+        """Start to write the process's log to standard output."""
         lines: queue.Queue[standard_logging.LogRecord] = queue.Queue(LOG_QUEUE_LINES)
         writer = standard_logging.StreamHandler(sys.stdout)
         writer.setFormatter(LineFormatter(node))
@@ -75,14 +77,14 @@
         self._listener.start()
 
     def stop_logs(self) -> None:
-        """Write what is queued, as far as its reader takes it within `LAST_LINES_S`."""
-        writer = threading.Thread(target=self._write_last_lines, name="last-lines", daemon=True)
+        """Write the queued lines; stop waiting after `FLUSH_TIMEOUT_S`."""
+        writer = threading.Thread(target=self._flush, name="last-lines", daemon=True)
         writer.start()
-        writer.join(LAST_LINES_S)
+        writer.join(FLUSH_TIMEOUT_S)
 
-    def _write_last_lines(self) -> None:
+    def _flush(self) -> None:
         if self._listener is not None:
-            # A full queue takes no mark of its end; its lines are lost with the process.
+            # A full queue has no space for the end marker; its lines are lost with the process.
             with contextlib.suppress(queue.Full):
                 self._listener.stop()
         sys.stdout.flush()
--- a/packages/node/tests/test_direct_metrics.py
+++ b/packages/node/tests/test_direct_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of a direct entry as text, and what a process imports before it serves."""
+"""Text format of a direct entry's metrics, and the modules that an entry imports at its start."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     return {name: float(value) for name, value in pairs}
 
 
-def test_counters_are_told_by_their_labels() -> None:
+def test_counters_are_exported_with_their_labels() -> None:
     metrics = Metrics()
     metrics.count("requests", route="stream", outcome="streamed")
     metrics.count("requests", route="stream", outcome="streamed")
@@ -29,7 +29,7 @@
     assert samples['carobspool_requests_total{outcome="not_run",route="safe"}'] == 1
 
 
-def test_a_counter_without_labels_is_told_from_the_start() -> None:
+def test_a_counter_without_labels_is_exported_before_its_first_count() -> None:
     assert _samples(Metrics())["carobspool_log_lines_dropped_total"] == 0
 
 
@@ -52,7 +52,7 @@
         Metrics().count("requests", **labels)
 
 
-def test_counts_of_several_threads_are_all_told() -> None:
+def test_counts_of_several_threads_are_all_exported() -> None:
     metrics = Metrics()
     rounds = 2_000
 
@@ -68,9 +68,10 @@
     assert _samples(metrics)['carobspool_items_total{outcome="completed"}'] == 4 * rounds
 
 
-def test_an_entry_imports_what_it_does_not_need_to_serve_only_when_it_is_used() -> None:
-    """All entries are killed and start again; callers find nobody until the imports are done. The
-    library that writes the metrics and the other roles' models took a fifth of that time."""
+def test_an_entry_does_not_import_modules_at_its_start_that_it_does_not_need_to_serve() -> None:
+    """After all entries are killed, callers are not served until the restarted entries have
+    finished their imports. Importing prometheus_client and the models of the other roles took a
+    fifth of that time."""
     code = (
         "import sys, carobspool_node.direct;"
         f"print([name for name in {LATE_IMPORTS!r} if name in sys.modules])"
--- a/packages/node/tests/test_direct_settings.py
+++ b/packages/node/tests/test_direct_settings.py
@@ -1,4 +1,4 @@
-"""Settings of direct entries: every error is told, and changes are taken over."""
+"""Settings of direct entries: validation errors and reloading."""
 
 from __future__ import annotations
 
@@ -73,7 +73,7 @@
         assert f'"role": "{role}"' in text
 
 
-def test_changes_are_taken_over_with_and_without_a_signal(tmp_path: Path) -> None:
+def test_changes_are_applied_with_and_without_a_signal(tmp_path: Path) -> None:
     path = _write(tmp_path / "s.json")
     reload = SettingsReload(path, load_direct_settings(path).unwrap())
     before = logging.get_verbosity()
