--- a/tests/direct/test_entry_exit.py
+++ b/tests/direct/test_entry_exit.py
@@ -1,11 +1,10 @@
-"""What callers get from an entry in its last moments.
-
-What callers saw: an entry was asked to stop, and 5.9 and 6.2 s later it still took two streams and
-passed them on; both broke off in the middle 0.6 and 0.9 s later, when the process exited. Most
-other entries were leaving too, so the balancer had nobody else, and open connections are used until
-the process is gone. The cause: an entry went on taking requests up to its exit without asking
-whether it would be there for their end. The evidence: the streams ended at the upstreams and at the
-callers in the same few milliseconds, 6.81 s after the signal, which is when the process left.
+"""Answers to requests that reach an entry shortly before its exit.
+
+These tests guard against an entry that accepts requests until its exit without checking whether
+they can end before it. An entry once forwarded two streams that arrived 5.9 and 6.2 s after the
+signal to stop; both were cut after 0.9 and 0.6 s, when the process exited 6.81 s after the signal.
+Callers reach such an entry while most other entries are shutting down too, so that the load
+balancer has no other, and over open connections, which are used until the process has exited.
 """
 
 from __future__ import annotations
@@ -25,25 +24,25 @@
 
 SMALL_PIPE = 4096
 DRAINED_S = 2.8
-"""Time after the signal at which an entry without requests exits, with some slack."""
+"""An entry without requests exits within this time after the signal."""
 
 
 @pytest.fixture
 def system(tmp_path: Path) -> Iterator[Deployment]:
-    """Stand-ins without entries."""
+    """A deployment of stand-ins without entries."""
     with deployment(tmp_path) as running:
         yield running
 
 
 class _UnreadPipe:
-    """An output whose reader has stopped, until it is told to go on."""
+    """A pipe whose reader has stopped and continues when `go_on` is called."""
 
     def __init__(self) -> None:
         self._reader, self.writer = os.pipe()
         fcntl.fcntl(self.writer, fcntl.F_SETPIPE_SZ, SMALL_PIPE)
 
     def fill(self) -> None:
-        """Leave no room, whatever the process has written by now."""
+        """Fill the pipe, so that the process cannot write to it."""
         os.set_blocking(self.writer, False)
         try:
             while True:
@@ -52,7 +51,7 @@
             os.set_blocking(self.writer, True)
 
     def go_on(self) -> None:
-        """Read all that comes from now on."""
+        """Read everything from now on."""
         threading.Thread(target=self._read, daemon=True).start()
 
     def _read(self) -> None:
@@ -64,26 +63,26 @@
     try:
         found[request_id] = entry.call("POST", path, body=body, request_id=request_id)
     except ConnectionRefusedError:
-        # The process is gone; the caller knows that nobody has read its request.
+        # The process has exited; the refused connection shows that the request was not read.
         return
     except OSError:
         found[request_id] = Answer(0, {}, b"", complete=False)
 
 
 def _cut(entry: Entry, found: dict[str, Answer]) -> list[str]:
-    """Return the requests that the entry has read and not answered whole.
+    """Return the requests that the entry has read and not answered completely.
 
-    A connection that still waited to be accepted when the process ended was read by nobody.
+    A connection that was still in the accept queue when the process ended was not read.
     """
     broken = [each for each, answer in found.items() if not answer.complete]
     return [each for each in broken if found[each].status or entry.logged(f"request={each} ")]
 
 
 def test_a_request_that_comes_while_an_entry_exits_is_not_cut(system: Deployment) -> None:
-    """An entry has nothing left to do and leaves, but whoever reads its output is slow, so that
-    its last lines take a second to write. Callers who come in that second must be told that
-    nothing was run, or get their whole stream; their streams used to be passed on and cut when the
-    last line was written."""
+    """An entry without requests shuts down, but the reader of its output is slow, so that writing
+    its last log lines takes a second. Requests that arrive in that second must be refused as not
+    run, or answered with the whole stream. The entry used to forward these streams and cut them
+    when the last line was written."""
     server = system.server("engine", stream_events(10, pause_s=0.1))
     pipe = _UnreadPipe()
     entry = system.entry("e1", output=pipe.writer)
@@ -109,8 +108,8 @@
 
 
 def test_an_entry_whose_output_nobody_reads_exits_in_its_time(system: Deployment) -> None:
-    """Whoever reads the output has stopped for good. The entry must still be gone before it is
-    killed; it used to wait for its last lines to be written, and took requests all the while."""
+    """The reader of the entry's output has stopped for good. The entry must still exit before it is
+    killed. It used to wait until its last lines were written, and accepted requests meanwhile."""
     system.server("engine", stream_events(2))
     pipe = _UnreadPipe()
     entry = system.entry("e1", output=pipe.writer)
@@ -120,9 +119,9 @@
 
 
 def test_a_call_on_a_job_is_not_cut_by_the_exit(system: Deployment) -> None:
-    """The store is slow when an entry leaves, and a job is submitted in its last moments. The
-    caller must have an answer before the process is gone, or be told at once to ask another entry;
-    the connection used to break, and the caller could not know whether the job was accepted."""
+    """The store is slow while an entry shuts down, and jobs are submitted shortly before its exit.
+    Each caller must receive an answer before the process exits, or an immediate refusal. The
+    connection used to break, and the caller could not know whether its job was accepted."""
     system.server("engine", stream_events(30, pause_s=0.2))
     long = route("/stream/", "streaming", "engine", max_attempts=1, timeout_ms=9_000)
     system.configure(2, long, route("/batch/", "batch", "engine", retention_s=60))
--- a/tests/direct/test_online.py
+++ b/tests/direct/test_online.py
@@ -1,4 +1,4 @@
-"""Online requests through a direct entry, with servers that fail in every way they may."""
+"""Online requests through a direct entry, to servers that work or fail in various ways."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 @pytest.fixture
 def served(running: Served) -> Iterator[Served]:
-    """The entry, with the servers of one test taken out again after it."""
+    """The deployment and its entry; the test's servers are removed after the test."""
     system, _ = running
     yield running
     for server in system.servers:
@@ -40,7 +40,7 @@
 
 
 def _settle() -> None:
-    """Wait until the entry knows all servers: its watches gather changes for 250 ms."""
+    """Wait until the entry knows all servers; it pauses 250 ms between two watches."""
     time.sleep(0.6)
 
 
@@ -63,8 +63,8 @@
 
 
 def test_a_late_second_answer_never_reaches_another_request(served: Served) -> None:
-    """The server answers the first request twice. The second copy lies on the kept connection
-    where the next caller's answer is expected; that caller must get its own."""
+    """The server answers the first request twice. The second copy is read on the reused connection
+    in place of the answer to the next caller, who must receive the answer to its own request."""
     system, entry = served
 
     def behave(request: ServedRequest, connection: ServerConnection) -> None:
@@ -82,8 +82,8 @@
     assert entry.call("GET", "/safe/second").body == b"/safe/second"
 
 
-def test_a_stale_answer_ahead_of_ours_is_skipped(served: Served) -> None:
-    """The stale answer arrives only after our request was sent, directly before ours."""
+def test_a_stale_answer_before_the_expected_one_is_skipped(served: Served) -> None:
+    """The stale answer arrives after the second request was sent, directly before its answer."""
     system, entry = served
     earlier: list[str] = []
 
@@ -101,7 +101,7 @@
 
 
 @pytest.mark.parametrize(
-    "spoiled",
+    "invalid",
     [
         b"these bytes are no answer\r\n\r\n",
         b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
@@ -109,16 +109,16 @@
     ],
     ids=["garbage", "unsigned", "truncated"],
 )
-def test_spoiled_answers_are_never_passed_on(served: Served, spoiled: bytes) -> None:
-    """A safe request is answered by another server; one that may run once ends as unknown, since
-    it may have run, and it is not sent again."""
+def test_invalid_answers_are_never_forwarded(served: Served, invalid: bytes) -> None:
+    """A safe request is answered by another server. A request that may run only once ends with an
+    unknown outcome, since it may have run, and is not sent again."""
     system, entry = served
 
-    def spoil(request: ServedRequest, connection: ServerConnection) -> None:
-        connection.send(spoiled)
+    def answer_invalid(request: ServedRequest, connection: ServerConnection) -> None:
+        connection.send(invalid)
         connection.close()
 
-    system.server("plain", spoil)
+    system.server("plain", answer_invalid)
     _settle()
     answer = entry.call("POST", "/once/x", body=b"b")
     assert (answer.status, answer.headers["carobspool-outcome"]) == (502, "unknown")
@@ -129,7 +129,7 @@
     assert entry.call("GET", "/safe/x").body == b"ok"
 
 
-def test_a_request_that_was_turned_away_runs_elsewhere(served: Served) -> None:
+def test_a_request_that_one_server_rejects_runs_at_another(served: Served) -> None:
     system, entry = served
     system.server("plain", lambda request, connection: connection.not_run(request))
     _settle()
@@ -141,8 +141,8 @@
     assert len(good.seen) == 4
 
 
-def test_a_refusal_is_immediate_and_says_when_to_come_back(served: Served) -> None:
-    """There is no server. Waiting for the deadline would help nobody."""
+def test_a_refusal_is_immediate_and_has_a_retry_after(served: Served) -> None:
+    """No server is registered. The entry must refuse at once and not wait for the deadline."""
     _, entry = served
     began = time.monotonic()
     answer = entry.call("POST", "/once/x", body=b"b")
@@ -152,8 +152,8 @@
 
 
 def test_a_server_at_a_reused_address_does_not_run_the_request(served: Served) -> None:
-    """The list still shows a server whose address another has taken. That one says so, and the
-    request runs at one of its own service."""
+    """A registration remains of a server whose address another service's server now uses. That
+    server rejects the request, which then runs at a server of the right service."""
     system, entry = served
     good = system.server("plain", lambda request, connection: connection.answer(request))
     stranger = system.server("other", lambda request, connection: connection.answer(request))
@@ -175,9 +175,9 @@
     assert 0.5 < time.monotonic() - began < 0.9
 
 
-def test_a_caller_that_leaves_ends_the_work_for_it(served: Served) -> None:
-    """The server works on a request whose caller has closed its connection. Within half a second
-    the server's connection is closed, so that it can stop."""
+def test_a_disconnected_caller_ends_the_call_to_the_server(served: Served) -> None:
+    """A caller closes its connection while a server works on its request. Within half a second the
+    entry must close its connection to the server, so that the server can stop the work."""
     system, entry = served
     left: list[bool] = []
 
@@ -197,7 +197,7 @@
     assert left == [True]
 
 
-def test_events_arrive_as_they_are_made(served: Served) -> None:
+def test_events_arrive_complete_and_in_order(served: Served) -> None:
     system, entry = served
     system.server("engine", stream_events(5, pause_s=0.02))
     _settle()
@@ -220,9 +220,9 @@
     return behave
 
 
-def test_a_broken_stream_that_may_not_repeat_cannot_look_complete(served: Served) -> None:
-    """The server breaks off after two events. The caller keeps what it has and sees that it is
-    not whole; nothing runs a second time."""
+def test_a_broken_stream_that_may_not_be_repeated_does_not_look_complete(served: Served) -> None:
+    """The server resets the stream after two events. The caller must see that the answer is
+    incomplete, and the request must not run a second time."""
     system, entry = served
     first = system.server("engine", _break_after(2))  # type: ignore[arg-type]
     second = system.server("engine", _break_after(2))  # type: ignore[arg-type]
@@ -236,7 +236,7 @@
 
 
 @pytest.mark.parametrize("rest", [b"", b"id: 3\nda"], ids=["between events", "within an event"])
-def test_a_resumable_stream_goes_on_at_its_next_event(served: Served, rest: bytes) -> None:
+def test_a_resumable_stream_continues_at_its_next_event(served: Served, rest: bytes) -> None:
     system, entry = served
     broken = system.server("engine", _break_after(2, rest))  # type: ignore[arg-type]
     _settle()
@@ -254,7 +254,7 @@
     assert good.seen[-1].headers.get("last-event-id") in (None, "2")
 
 
-def test_unknown_routes_are_told_from_an_unknown_configuration(served: Served) -> None:
+def test_a_request_without_a_matching_route_is_answered_404(served: Served) -> None:
     _, entry = served
     assert entry.call("GET", "/nowhere/x").status == 404
 
@@ -270,7 +270,7 @@
     ],
     ids=["two lengths", "bad chunk", "long header", "bad header", "slow header"],
 )
-def test_improper_requests_are_refused_and_the_entry_lives_on(
+def test_invalid_requests_are_refused_and_the_entry_continues_to_serve(
     served: Served, head: str, status: int
 ) -> None:
     system, entry = served
@@ -285,12 +285,12 @@
     assert entry.call("GET", "/safe/x").status == 200
 
 
-def test_a_burst_over_all_places_is_spread_and_what_is_refused_is_told_at_once(
+def test_a_burst_beyond_all_slots_is_spread_and_the_rest_is_refused_at_once(
     served: Served,
 ) -> None:
-    """Forty callers at once over two servers of eight places each, whose answers took some ms until
-    then and take half a second now. The servers are used evenly, nobody waits for a deadline, and
-    every refusal says when to return."""
+    """Forty callers send requests at once to two servers of eight slots each, whose answers took
+    some milliseconds before and now take half a second. The servers must be used evenly, no caller
+    waits for a deadline, and every refusal has a Retry-After."""
     system, entry = served
     slow = threading.Event()
 
@@ -327,10 +327,10 @@
     assert abs(used[0] - used[1]) <= 4
 
 
-def test_metrics_and_logs_tell_of_a_request(served: Served, tmp_path: Path) -> None:
+def test_the_log_contains_the_outcome_of_a_request(served: Served, tmp_path: Path) -> None:
     system, entry = served
     system.server("plain", lambda request, connection: connection.answer(request))
     _settle()
-    entry.call("GET", "/safe/x", request_id="told")
-    (line,) = eventually(lambda: entry.logged("request=told"), 2.0)
+    entry.call("GET", "/safe/x", request_id="logged")
+    (line,) = eventually(lambda: entry.logged("request=logged"), 2.0)
     assert "outcome=answered status=200" in line
--- a/tests/direct/test_restarted_upstreams.py
+++ b/tests/direct/test_restarted_upstreams.py
@@ -1,4 +1,4 @@
-"""Upstreams that start again under the id that they had, while requests run there."""
+"""Upstreams that restart under the same id while requests run on them."""
 
 from __future__ import annotations
 
@@ -32,13 +32,13 @@
     stream_events,
 )
 
-SHOWN_S = 1.0
-"""A registration is known within 0.25 s of its change, and 0.3 s later all that is silent ends."""
+RESTART_KNOWN_S = 1.0
+"""A registration is known within 0.25 s of its change; 0.3 s later all silent calls have ended."""
 
 
 @pytest.fixture
 def system(tmp_path: Path) -> Iterator[Deployment]:
-    """Stand-ins without entries; no entry may log an error."""
+    """A deployment of stand-ins without entries; fails if an entry logs an error."""
     with deployment(tmp_path) as running:
         yield running
         assert [line for entry in running.entries for line in entry.logged("level=error")] == []
@@ -57,7 +57,7 @@
 
 
 class _Caller:
-    """A call in a task of its own."""
+    """A call on its own thread."""
 
     def __init__(self, entry: Entry, target: str) -> None:
         self._found: list[Answer] = []
@@ -71,17 +71,18 @@
         self.took_s = time.monotonic() - began
 
     def answer(self) -> Answer:
-        """Wait for the answer."""
+        """Wait for the answer and return it."""
         self._task.join()
         return self._found[0]
 
 
-def test_what_the_earlier_start_has_not_answered_ends_as_unknown_at_once(
+def test_requests_unanswered_by_the_earlier_start_end_as_unknown_at_once(
     system: Deployment,
 ) -> None:
-    """The only server is cut off with a request that may run once, and starts again under its id.
-    Its connections stay open and silent, so that the caller would wait until its time limit of
-    three seconds. It must be told 502 when the new start shows, and nothing may run twice."""
+    """The only server loses its network during a request that may run only once, and restarts under
+    the same id. Its connections stay open and silent, so that the caller would wait until its time
+    limit of three seconds. The caller must receive 502 as soon as the entry knows the new start,
+    and the request must not run twice."""
     server = system.server("plain", lambda request, connection: time.sleep(5.0))
     entry = system.entry("e1")
     caller = _Caller(entry, "/once/x")
@@ -91,15 +92,15 @@
     system.restart(server, "plain")
     restarted = time.monotonic()
     answer = caller.answer()
-    assert (answer.status, time.monotonic() - restarted < SHOWN_S) == (502, True)
+    assert (answer.status, time.monotonic() - restarted < RESTART_KNOWN_S) == (502, True)
     assert len(server.seen) == 1
     assert entry.call("POST", "/once/y", body=b"b").status == 200
 
 
-def test_a_late_answer_of_the_earlier_start_belongs_to_nobody(system: Deployment) -> None:
-    """The server is cut off with one request running and one connection kept, and starts again. The
-    answers of its earlier start arrive when new requests run at the new one. Each caller must get
-    the answer of its own request; the first one was told that its end is unknown."""
+def test_a_late_answer_of_the_earlier_start_reaches_no_caller(system: Deployment) -> None:
+    """The server loses its network with one request in progress and one idle connection, and
+    restarts. The answers of its earlier start arrive while new requests run at the new start. The
+    caller of the first request must receive 502, and each later caller its own answer."""
 
     def behave(request: ServedRequest, connection: ServerConnection) -> None:
         connection.answer(request, 200, request.target.encode())
@@ -131,10 +132,10 @@
     assert len(_seen_by(server, server.started)) == 6
 
 
-def test_a_stream_goes_on_at_the_new_start(system: Deployment) -> None:
-    """The only engine is cut off in the middle of a stream that may be resumed, and starts again
-    under its id. The stream must go on there from its next event, as soon as the new start shows,
-    though the earlier start has just failed."""
+def test_a_stream_continues_at_the_new_start(system: Deployment) -> None:
+    """The only engine loses its network during a resumable stream and restarts under the same id.
+    The stream must continue there at its next event as soon as the entry knows the new start,
+    although the earlier start has just failed."""
     server = system.server("engine", stream_events(30, pause_s=0.03))
     entry = system.entry("e1")
     first = server.started
@@ -145,14 +146,14 @@
     answer = caller.answer()
     assert (answer.status, answer.complete) == (200, True)
     assert _numbers(answer) == list(range(1, 31))
-    assert caller.took_s < 0.4 + SHOWN_S + 1.0
+    assert caller.took_s < 0.4 + RESTART_KNOWN_S + 1.0
     assert [len(_seen_by(server, each)) for each in (first, server.started)] == [1, 1]
 
 
-def test_a_crash_that_no_heartbeat_misses_ends_what_is_believed(system: Deployment) -> None:
-    """The only server crashes under load and is back within 0.1 s, long before its registration
-    would lapse. It was failing, so that callers would be kept from it for a second or two; its new
-    start must be used as soon as it shows, and whatever the crash cut ends as unknown."""
+def test_a_new_start_after_a_fast_crash_is_used_at_once(system: Deployment) -> None:
+    """The only server crashes under load and restarts within 0.1 s, long before its registration
+    lapses. An entry avoids a failed server for a second or two. The new start must be used as soon
+    as the entries know it, and the requests that the crash cut must end as unknown."""
     server = system.server("plain", lambda request, connection: time.sleep(5.0))
     entries = [system.entry("e1"), system.entry("e2")]
     callers = [_Caller(entry, "/once/x") for entry in entries for _ in range(4)]
@@ -163,15 +164,16 @@
     system.restart(server, "plain")
     assert {caller.answer().status for caller in callers} == {502}
     for entry in entries:
-        eventually(lambda e=entry: e.logged("event=upstream_restarted"), SHOWN_S)
+        eventually(lambda e=entry: e.logged("event=upstream_restarted"), RESTART_KNOWN_S)
         for _ in range(4):
             assert entry.call("POST", "/once/y", body=b"b").status == 200
     assert len(server.seen) == len(callers) + 8
 
 
 def test_a_stream_that_reached_the_new_start_early_is_not_cut(system: Deployment) -> None:
-    """The server starts again and takes a stream before its new registration is read. When it is,
-    the stream looks like one of the earlier start; it is alive, and its caller gets all of it."""
+    """The server restarts and accepts a stream before the entry reads its new registration. The
+    entry then attributes the stream to the earlier start. Since the stream still receives events,
+    it must not be ended, and its caller must receive all of it."""
     server = system.server("engine", stream_events(40, pause_s=0.03))
     entry = system.entry("e1")
     server.crash()
@@ -185,10 +187,11 @@
 
 
 @pytest.mark.parametrize("deaf", [False, True], ids=["watched", "deaf"])
-def test_items_go_on_when_their_engine_starts_again_twice(system: Deployment, deaf: bool) -> None:
-    """A job runs at the only engine, which is cut off and starts again, crashes and starts again;
-    the store's watches may hear nothing of it. Every item must end once with its whole text, going
-    on from its last event; with deaf watches the reading every two seconds finds the new start."""
+def test_items_continue_when_their_engine_restarts_twice(system: Deployment, deaf: bool) -> None:
+    """A job runs at the only engine, which loses its network and restarts, then crashes and
+    restarts. With ``deaf``, the store's watches deliver none of these changes, and the read every
+    two seconds finds the new start. Every item must continue after its last event and end once with
+    its whole text."""
     server = system.server("engine", stream_events(40, pause_s=0.05))
     entries = [system.entry("e1"), system.entry("e2")]
     names = [f"item-{number}" for number in range(5)]
@@ -217,18 +220,18 @@
 
 
 @contextmanager
-def _peer_that_tells(entry: Entry, hint: dict[str, Any]) -> Iterator[None]:
-    """Send hints as another entry does, five times a second."""
+def _peer_sending(entry: Entry, hint: dict[str, Any]) -> Iterator[None]:
+    """Send hints like another entry, five times a second."""
     over = threading.Event()
     own = {"n": "e9", "i": "1", "a": ["127.0.0.1", 9], "e": {}, "v": {}, "x": False, "s": True}
 
-    def tell() -> None:
+    def send_hints() -> None:
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
             while not over.is_set():
                 sock.sendto(cbor2.dumps(own | hint), ("127.0.0.1", entry.peer_port))
                 over.wait(0.2)
 
-    task = threading.Thread(target=tell)
+    task = threading.Thread(target=send_hints)
     task.start()
     time.sleep(0.5)
     try:
@@ -238,32 +241,32 @@
         task.join()
 
 
-def test_what_peers_tell_of_the_earlier_start_is_not_held_against_the_new_one(
+def test_peer_loads_of_the_earlier_start_do_not_count_for_the_new_one(
     system: Deployment,
 ) -> None:
-    """Another entry goes on telling that the only server is overfull, of its earlier start or, of
-    the version before, without a start. Callers are refused while that may be so, and served as
-    soon as the server has started again."""
+    """Another entry reports the only server as overloaded: either with its earlier start, or, like
+    entries of the previous version, without a start. Callers must be refused before the server
+    restarts and served after it. A report with the new start must cause refusals again."""
     server = system.server("plain", _answer)
     entry = system.entry("e1")
     loads = {"l": {server.instance: [400, 0]}}
     earlier = loads | {"b": {server.instance: server.started}}
     for hint in (loads, earlier):
-        with _peer_that_tells(entry, hint):
+        with _peer_sending(entry, hint):
             assert entry.call("POST", "/once/x", body=b"b").status == 503
     server.crash()
     system.restart(server, "plain")
-    eventually(lambda: entry.logged("event=upstream_restarted"), SHOWN_S)
+    eventually(lambda: entry.logged("event=upstream_restarted"), RESTART_KNOWN_S)
     for hint in (loads, earlier):
-        with _peer_that_tells(entry, hint):
+        with _peer_sending(entry, hint):
             assert entry.call("POST", "/once/x", body=b"b").status == 200
-    with _peer_that_tells(entry, loads | {"b": {server.instance: server.started}}):
+    with _peer_sending(entry, loads | {"b": {server.instance: server.started}}):
         assert entry.call("POST", "/once/x", body=b"b").status == 503
 
 
-def test_a_server_that_told_no_start_is_another_one_when_it_tells_one(system: Deployment) -> None:
-    """The earlier start came from a writer that names none. It is cut off; when a registration with
-    a start shows, what waits for the earlier one ends at once."""
+def test_a_registration_that_gains_a_start_counts_as_a_restart(system: Deployment) -> None:
+    """The first registration comes from a writer that sends no start. The server loses its network;
+    when a registration with a start arrives, the calls to the earlier one must end at once."""
     server = system.server("plain", lambda request, connection: time.sleep(5.0), started=0)
     entry = system.entry("e1")
     caller = _Caller(entry, "/once/x")
--- a/tests/direct/test_rolling_restart.py
+++ b/tests/direct/test_rolling_restart.py
@@ -1,10 +1,10 @@
-"""Batch jobs while every entry is told to stop before the first one is back.
+"""Batch jobs while every entry is told to stop before the first one has restarted.
 
-What callers saw: all entries were restarted 0.6 s apart, and every open job came 3.7 to 4.8 s later
-than it had to; with a burst beside it, late. Each entry let its jobs go at the signal. The last one
-had nobody left to take them, so no item ran until an entry was back, and an entry that had just
-started waited another 2.5 s before it took over anything that was not its own. The evidence: the
-last run was cut 40 ms after the last signal, and the next began when the first process was back.
+These tests guard against a gap in which no entry runs a job. Each entry used to hand over its jobs
+at the signal to stop, also the last one, which had no successor: its last run was cut 40 ms after
+the signal, and no item ran until the first entry had restarted. That entry waited another 2.5 s
+before it adopted jobs of other entries. With restarts 0.6 s apart, every open job ended 3.7 to
+4.8 s later than necessary, and was late if a burst ran at the same time.
 """
 
 from __future__ import annotations
@@ -26,14 +26,14 @@
 
 @pytest.fixture
 def system(tmp_path: Path) -> Iterator[Deployment]:
-    """Stand-ins without entries."""
+    """A deployment of stand-ins without entries."""
     with deployment(tmp_path) as running:
         yield running
 
 
-def test_the_last_entry_works_on_while_nobody_can_take_its_jobs(system: Deployment) -> None:
-    """The only entry is told to stop half a second into items of 1.5 s. It is there for another
-    two seconds at least, and its caller reads the results from it before it has gone."""
+def test_the_last_entry_keeps_its_jobs_while_no_other_can_adopt_them(system: Deployment) -> None:
+    """The only entry is told to stop half a second into items of 1.5 s. It continues for at least
+    two seconds, and the caller must be able to read the results from it before it exits."""
     system.server("engine", stream_events(15, pause_s=0.1))
     entry = system.entry("e1")
     ids = [f"i{number}" for number in range(3)]
@@ -46,25 +46,26 @@
 
 
 @pytest.mark.parametrize("first_start", [True, False])
-def test_jobs_go_over_without_a_pause_to_the_first_entry_that_is_back(
+def test_the_first_restarted_entry_adopts_jobs_without_a_pause(
     system: Deployment, first_start: bool
 ) -> None:
-    """Two entries are told to stop, one after the other, with an item of five seconds; a third
-    starts then. The item goes on there after its last event, less than a second after its last run
-    was cut, although the third has hardly heard of anybody yet. On a restart it has read the job in
-    the store before, and could not tell then whether it has an owner."""
+    """Two entries are told to stop one after the other during an item of five seconds, and a third
+    entry starts. The item must continue there after its last event, less than a second after its
+    last run was cut, although the third entry has received hardly any hints from the others. If it
+    is not a first start, the third entry has read the job from the store before, when it could not
+    determine whether the job had an owner."""
     started: list[float] = []
     ended: list[float] = []
     behave = stream_events(50, pause_s=0.1)
 
-    def note(request: ServedRequest, connection: ServerConnection) -> None:
+    def record_run(request: ServedRequest, connection: ServerConnection) -> None:
         started.append(time.monotonic())
         try:
             behave(request, connection)
         finally:
             ended.append(time.monotonic())
 
-    system.server("engine", note)
+    system.server("engine", record_run)
     first, second = system.entry("e1"), system.entry("e2")
     assert first.call("POST", "/batch/j", body=submission("i"), request_id="j").status == 202
     time.sleep(1.0)
--- a/tests/direct/test_signals.py
+++ b/tests/direct/test_signals.py
@@ -1,10 +1,10 @@
 """Signals that reach an entry while its main task holds a lock.
 
-What callers saw once, in a random schedule of faults: an entry was asked to stop, went on as ready
-for 18 s, and would have been killed with everything that it served. No line of its log told of the
-signal. The handler runs on the main task, wherever that stands; if it asks for the lock of the
-event on which the main task waits, in the few instructions in which the main task holds that lock,
-both wait for ever. Here the signal comes in exactly those instructions.
+A signal handler runs on the main task. If it acquires the lock of the event on which the main task
+waits, during the few instructions in which the main task holds that lock, the process deadlocks. A
+random fault schedule once showed this: an entry stayed ready for 18 s after the signal to stop,
+logged nothing about it, and would have been killed with its requests in progress. These tests send
+the signal during exactly those instructions.
 """
 
 from __future__ import annotations
@@ -46,19 +46,21 @@
 
 @pytest.fixture
 def system(tmp_path: Path) -> Iterator[Deployment]:
-    """Stand-ins without entries."""
+    """A deployment of stand-ins without entries."""
     with deployment(tmp_path) as running:
         yield running
 
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGHUP])
-def test_a_signal_is_never_lost_in_a_lock(system: Deployment, number: signal.Signals) -> None:
-    """SIGTERM must be followed by an exit in time, SIGHUP by a look at the settings; after it the
-    entry must still stop when asked."""
+def test_a_signal_is_handled_while_the_main_task_holds_a_lock(
+    system: Deployment, number: signal.Signals
+) -> None:
+    """SIGTERM must lead to an exit in time. SIGHUP must lead to a check of the settings, and the
+    entry must still exit on a later SIGTERM."""
     program = ("-c", SIGNAL_WHILE_A_LOCK_IS_HELD.format(number=int(number)))
     entry = system.entry("e1", program=program)
     time.sleep(3.5)
-    # Where nothing holds a lock, no signal has come yet.
+    # If the traced code never held the lock, no signal has been sent yet.
     entry.signal(number)
     if number is signal.SIGHUP:
         eventually(lambda: entry.logged("event=reload"), 3)
--- a/tests/direct/test_still_and_slow_servers.py
+++ b/tests/direct/test_still_and_slow_servers.py
@@ -1,4 +1,4 @@
-"""Servers that go still and come back, run slow, reset connections or hang: what callers get."""
+"""Answers to callers while servers freeze and resume, are slow, reset connections or hang."""
 
 from __future__ import annotations
 
@@ -21,33 +21,33 @@
 
 @pytest.fixture
 def system(tmp_path: Path) -> Iterator[Deployment]:
-    """Stand-ins without entries."""
+    """A deployment of stand-ins without entries."""
     with deployment(tmp_path) as running:
         yield running
 
 
-class _GoesStill:
-    """Streams events, and stands still with open connections while it is told to."""
+class _FreezableStream:
+    """Streams events, and pauses with open connections while ``running`` is not set."""
 
     def __init__(self) -> None:
-        self.moves = threading.Event()
-        self.moves.set()
+        self.running = threading.Event()
+        self.running.set()
 
     def __call__(self, request: ServedRequest, connection: ServerConnection) -> None:
         connection.start_events(request)
         first = int(request.headers.get("last-event-id", "0")) + 1
         for number in range(first, EVENTS + 1):
-            self.moves.wait(20.0)
+            self.running.wait(20.0)
             connection.event(number)
             time.sleep(PAUSE_S)
         connection.end_events()
 
 
-def test_a_job_is_whole_although_its_server_went_still_and_came_back(system: Deployment) -> None:
-    """A server stands still in the middle of ten items, its connections open, and moves again after
-    five seconds. No item may be left half done, and no event of the still runs may come twice."""
-    still = _GoesStill()
-    system.server("engine", still)
+def test_a_job_completes_although_its_server_froze_and_resumed(system: Deployment) -> None:
+    """A server freezes for five seconds during ten items, with its connections open. Every item
+    must complete, and no event of the frozen runs may appear twice."""
+    freezable = _FreezableStream()
+    system.server("engine", freezable)
     system.server("engine", stream_events(EVENTS, pause_s=PAUSE_S))
     entries = [system.entry("e1"), system.entry("e2")]
     names = [f"item-{number}" for number in range(10)]
@@ -56,8 +56,8 @@
         == 202
     )
     time.sleep(0.4)
-    still.moves.clear()
-    threading.Timer(5.0, still.moves.set).start()
+    freezable.running.clear()
+    threading.Timer(5.0, freezable.running.set).start()
     results = eventually(lambda: finished(entries[1], "job-1"), 15.0)
     assert sorted(each["id"] for each in results) == sorted(names)
     assert {each["state"] for each in results} == {"completed"}
@@ -65,9 +65,10 @@
     assert results[0]["text"].count("piece") == EVENTS
 
 
-def test_callers_do_not_wait_for_the_slow_servers_of_one_hall(system: Deployment) -> None:
-    """Two of six servers take two seconds to the first event. Streams go there too at first; as
-    their requests stay open, the others get nearly all, and most streams begin in time."""
+def test_callers_do_not_wait_for_slow_servers(system: Deployment) -> None:
+    """Two of six servers take two seconds until the first event. At first they receive streams too.
+    Since these requests stay in flight, the other servers then receive nearly all streams, and most
+    streams must begin in time."""
 
     def slow(request: ServedRequest, connection: ServerConnection) -> None:
         time.sleep(2.0)
@@ -92,12 +93,12 @@
     assert in_time >= 0.85 * len(times)
 
 
-def test_a_reply_is_made_and_delivered_once_although_connections_are_reset(
+def test_an_answer_is_made_and_delivered_once_although_connections_are_reset(
     system: Deployment,
 ) -> None:
-    """The server runs each request and resets the connection before the answer arrives, or in the
-    middle of it. What may not be repeated reaches a server once, and its caller learns that it may
-    have run; a stream that may be resumed has each event once."""
+    """The server runs each request and resets the connection before the answer or in the middle of
+    it. A request that may not be repeated must reach a server once, and its caller must receive
+    502. A resumable stream must contain each event once."""
     resets = Counter[str]()
 
     def runs_and_resets(request: ServedRequest, connection: ServerConnection) -> None:
@@ -127,12 +128,13 @@
         if broken.seen:
             return
         time.sleep(1.1)
-    pytest.fail("no stream met the server that breaks off")
+    pytest.fail("no stream reached the server that resets connections")
 
 
-def test_a_lookup_is_answered_although_servers_hang(system: Deployment) -> None:
-    """One of three servers takes requests and says nothing. Every lookup is answered by another one
-    inside the route's time, and those that follow avoid the one that hangs."""
+def test_a_safe_request_is_answered_although_a_server_hangs(system: Deployment) -> None:
+    """One of three servers accepts requests and never answers. Every request must be answered by
+    another server within the route's time limit, and later requests must avoid the server that
+    hangs."""
     hangs = system.server("plain", lambda request, connection: time.sleep(10.0))
     for _ in range(2):
         system.server("plain", lambda request, connection: connection.answer(request))
