--- a/packages/node/src/carobspool_node/direct/_declared.py
+++ b/packages/node/src/carobspool_node/direct/_declared.py
@@ -96,7 +96,7 @@
         return self._configuration
 
     @property
-    def known(self) -> bool:
+    def can_route(self) -> bool:
         """Whether requests can be routed."""
         return self._configuration is not None and self._upstreams_listed
 
--- a/packages/node/src/carobspool_node/direct/_entry.py
+++ b/packages/node/src/carobspool_node/direct/_entry.py
@@ -245,7 +245,7 @@
         self._runner.start()
         self._membership.start()
         self._recovery.start(first_start=settings.first_start)
-        threading.Thread(target=self._run_poll, name="poll", daemon=True).start()
+        threading.Thread(target=self._poll_store, name="poll", daemon=True).start()
         while not self._stop.wait(CLEANUP_INTERVAL_S):
             self._clean_up()
             self._reload.check()
@@ -318,7 +318,7 @@
         self._telemetry.count("upstream_restarts", service=upstream.service)
         self._loads.restarted(upstream)
 
-    def _run_poll(self) -> None:
+    def _poll_store(self) -> None:
         """Read the store periodically on behalf of all entries, in case a watch misses a change."""
         while not self._leaving.wait(POLL_INTERVAL_S):
             try:
@@ -370,7 +370,7 @@
 
     @property
     def _is_ready(self) -> bool:
-        return self._declared.known and not self._leaving.is_set()
+        return self._declared.can_route and not self._leaving.is_set()
 
     def _answer_ready(self, request: CallerRequest, caller: CallerConnection) -> None:
         if request.path != self._deployment.ready_path:
--- a/packages/node/src/carobspool_node/direct/_exit.py
+++ b/packages/node/src/carobspool_node/direct/_exit.py
@@ -60,7 +60,7 @@
         self._runner = runner
         self._peers = peers
         self._telemetry = telemetry
-        self._kill_after = limit
+        self._time_to_kill = limit
         self._exit_at: Millis | None = None
 
     @property
@@ -72,7 +72,7 @@
         """Shut down; the process can exit when this returns."""
         logging.info("event=stop_requested busy=%d", callers.busy)
         started = self._clock.now()
-        self._exit_at = started + self._kill_after - EXIT_MARGIN
+        self._exit_at = started + self._time_to_kill - EXIT_MARGIN
         callers.drain()
         self._peers.announce()
         self._serve_until_drained(callers, started)
--- a/packages/node/src/carobspool_node/direct/_forward.py
+++ b/packages/node/src/carobspool_node/direct/_forward.py
@@ -70,7 +70,7 @@
 
 
 class _StreamBrokenError(Exception):
-    """The upstream's event stream ended early or skipped an event."""
+    """An upstream did not deliver the rest of an event stream, or skipped an event."""
 
 
 class Forwarder:
@@ -144,6 +144,7 @@
         return state.may_have_run or state.runs > 0
 
     def _has_time_before_exit(self, state: RequestState) -> bool:
+        """Return whether the request can probably end before this process exits."""
         time_left = self._time_left()
         if time_left is None:
             return True
@@ -162,6 +163,7 @@
         return False
 
     def _can_finish_in_time(self, state: RequestState, service: str) -> bool:
+        """Return whether the request can probably end before the caller's deadline."""
         left = state.deadline - self._clock.now()
         mean = self._loads.mean_duration(service)
         if can_end(time_left=left, mean_duration=mean):
@@ -186,7 +188,7 @@
                 self._endings.refuse(state, LEAVING_RETRY_AFTER)
                 return
             if not state.may_have_run and not self._can_finish_in_time(state, service):
-                self._endings.give_up(state, full=True)
+                self._endings.give_up(state, has_upstreams=True)
                 return
             placement = self._loads.place_online(
                 reach.near,
@@ -204,7 +206,7 @@
                     state.returned,
                     self._loads.describe(reach.near),
                 )
-                self._endings.give_up(state, full=bool(reach.near))
+                self._endings.give_up(state, has_upstreams=bool(reach.near))
                 return
             state.tried.add(placement.upstream.identity)
             state.upstream_loads.append(f"{placement.upstream.instance}:{placement.load.total}")
@@ -216,7 +218,7 @@
             if answered:
                 return
             if state.runs >= state.route.max_attempts or not self._may_retry(state):
-                self._endings.give_up(state, full=True)
+                self._endings.give_up(state, has_upstreams=True)
                 return
 
     def _may_retry(self, state: RequestState) -> bool:
@@ -334,8 +336,8 @@
             return False
         if state.streaming:
             raise _StreamBrokenError(f"status {head.status} instead of the stream's rest")
-        # Returns the connection to the pool before answering: the caller's next request arrives
-        # within a millisecond of the answer and would otherwise open a new connection.
+        # The connection returns to the pool before the answer is sent: the caller's next request
+        # arrives within a millisecond of the answer and would otherwise open a new connection.
         call.close()
         state.caller.answer(head.status, _answer_headers(head), body, reason=head.reason)
         self._endings.record(state, "answered", head.status)
--- a/packages/node/src/carobspool_node/direct/_listener.py
+++ b/packages/node/src/carobspool_node/direct/_listener.py
@@ -21,8 +21,7 @@
 REFUSAL_WRITE_TIMEOUT_S = 0.1
 """How long the exit waits for refusals in progress; writing one takes less than a millisecond."""
 ACCEPT_QUEUE_LENGTH = 512
-"""Length of the accept queue. A full queue drops the SYN, which the client retransmits only after a
-second."""
+"""A full accept queue drops the SYN, which the client retransmits only after a second."""
 
 Handler = Callable[[CallerRequest, CallerConnection], None]
 
--- a/packages/node/src/carobspool_node/direct/_request_endings.py
+++ b/packages/node/src/carobspool_node/direct/_request_endings.py
@@ -28,12 +28,12 @@
         self._clock = clock
         self._telemetry = telemetry
 
-    def give_up(self, state: RequestState, *, full: bool) -> None:
+    def give_up(self, state: RequestState, *, has_upstreams: bool) -> None:
         """End a request for which no further upstream is called.
 
         Args:
             state: The request.
-            full: Whether the service has upstreams, so that a retry soon may succeed.
+            has_upstreams: Whether the service has upstreams, so that a retry soon may succeed.
         """
         if state.streaming:
             self.record(state, "broken_off", 0)
@@ -42,7 +42,7 @@
         if state.may_have_run:
             self._fail(state, 502, "unknown", None)
             return
-        self.refuse(state, self._retry_after(state) if full else NO_UPSTREAM_RETRY_AFTER)
+        self.refuse(state, self._retry_after(state) if has_upstreams else NO_UPSTREAM_RETRY_AFTER)
 
     def end_at_deadline(self, state: RequestState) -> None:
         """End a request whose time limit has passed."""
