--- a/packages/core/src/carobspool_core/organisations/_peer_counts.py
+++ b/packages/core/src/carobspool_core/organisations/_peer_counts.py
@@ -1,4 +1,4 @@
-"""Counts of admitted requests that entries tell each other."""
+"""Counts of admitted requests that entries send each other in hints."""
 
 from __future__ import annotations
 
@@ -8,31 +8,31 @@
 from carobspool_core._clock import Millis
 
 COUNT_MODULUS = 1 << 16
-"""Counts are told modulo this; nobody admits half as many between two hints."""
+"""Counts are sent modulo this value; no entry admits half as many requests between two hints."""
 
 
 class PeerCount(Struct):
-    """What another entry has admitted of one organisation.
+    """A peer's count of the requests that it has admitted for one organisation.
 
     Attributes:
-        value: The count that it told last.
-        heard: When.
-        is_stale: Whether the entry fell silent since, and its part was held back.
+        value: The count as last received.
+        received_at: When it was received.
+        is_stale: Whether the peer has fallen silent since, so that its share was withheld.
     """
 
     value: int
-    heard: Millis
+    received_at: Millis
     is_stale: bool = False
 
 
 class PeerCounts(Struct):
-    """What is known of another entry's admissions.
+    """The known counts of one peer.
 
     Attributes:
-        incarnation: Of the process that counts.
-        counts: By organisation.
-        listed_at: When the entry was first known.
-        is_silent: Whether it has not been heard of late.
+        incarnation: Identifies the process that counts.
+        counts: The counts by organisation name.
+        listed_at: When the peer became known.
+        is_silent: Whether no hint of the peer has arrived recently.
     """
 
     incarnation: str = ""
@@ -42,11 +42,11 @@
 
 
 def organisation_key(name: str) -> int:
-    """Return a key of four bytes, short enough for hints; two organisations may share one."""
+    """Return the four-byte hash of a name that hints carry; two names may have the same hash."""
     return xxh32_intdigest(name.encode())
 
 
 def count_difference(value: int, before: int) -> int:
-    """Return how far a count has moved, which goes back when requests are given back."""
+    """Return how far a count has moved; it moves backwards when requests are refunded."""
     half = COUNT_MODULUS // 2
     return (value - before + half) % COUNT_MODULUS - half
--- a/packages/core/src/carobspool_core/organisations/_request_limits.py
+++ b/packages/core/src/carobspool_core/organisations/_request_limits.py
@@ -1,18 +1,21 @@
-"""Request limits of organisations, kept over all entries by counting together.
-
-Load pattern: some organisations send many times their usual, at one entry or at all, beside many
-that send a request a second. Dozens of entries each see one request of a small organisation in
-twenty seconds; equal parts of its limit would refuse nearly all of it, and a limit at each entry
-alone would let a hot one have it dozens of times.
-
-Each entry keeps one token bucket an organisation for the whole deployment. It takes from it what it
-admits itself and what the others tell that they have admitted, and tells its own count at once, so
-that all buckets hold about the same. What two entries admit at the same moment is paid back out of
-the next tokens, since a bucket may be in debt.
-
-An entry that is not heard may be admitting all the same. Its equal part of each limit is held back:
-the sides of a cut share a limit instead of having it twice. A process that has just started begins
-with few tokens, so that a restart of all does not hand the bursts out again.
+"""Request limits of organisations, enforced jointly by all entries.
+
+Load pattern: some organisations send many times their usual rate, at one entry or at all of them,
+beside many organisations that send one request a second. Each of dozens of entries sees one
+request of a small organisation in twenty seconds. An equal share of the limit at each entry would
+refuse nearly all of those requests; the whole limit at each entry would allow a hot organisation
+dozens of times its limit.
+
+Each entry therefore keeps one token bucket per organisation for the whole deployment. An entry
+takes tokens from its bucket for the requests that it admits itself and for those that its peers
+report, and reports its own count at once, so that all buckets hold about the same level. Requests
+that two entries admit at the same moment are paid for out of later tokens, since the level of a
+bucket may be negative.
+
+A peer that is silent may still be admitting requests. Its equal share of each limit is withheld,
+so that the two sides of a network partition share a limit instead of having it twice. A process
+that has just started begins with few tokens, so that a restart of all entries does not grant the
+bursts a second time.
 """
 
 from __future__ import annotations
@@ -33,54 +36,60 @@
 )
 from carobspool_core.organisations._token_bucket import SILENT_AFTER, TokenBucket
 
-FILLED = 0.95
-"""Part of the rate at which buckets fill for a while after entries fell silent, came or went: what
-was let through beyond a limit meanwhile is made up for."""
-MADE_UP_IN: Millis = 5_000.0
-"""How long after such a change."""
+REDUCED_REFILL = 0.95
+"""Fraction of the rate at which buckets refill for a while after entries fell silent, joined or
+left. It compensates for requests that were admitted beyond a limit during the change."""
+REDUCED_REFILL_TIME: Millis = 5_000.0
+"""How long the refill stays reduced after such a change."""
 HOT_LEVEL = 0.75
-"""Part of its burst below which an organisation is hot: its limit may be reached in a moment."""
-HOT_BURST = 8.0
-"""Burst below which an organisation is never hot: a cut lets a few requests of it through, and
-hundreds of small organisations would have all entries send hints all the time."""
+"""Fraction of the bucket capacity below which an organisation is hot: it may reach its limit
+within moments."""
+MIN_HOT_BURST = 8.0
+"""Burst below which an organisation is never hot. A partition lets only a few of its requests
+through, and hundreds of small organisations would make all entries send hints all the time."""
 HOT_TIME: Millis = 1_000.0
 """How long an organisation counts as hot after its level was low."""
-HOT_HEARTBEAT: Millis = 80.0
-"""Time between two hints of each entry while an organisation is hot."""
-HOT_HEARTBEAT_BY_ENTRIES: Millis = 3.5
-"""The same for each entry there is, so that hints cost each of hundreds of entries no more."""
-NEAR_HEARTBEATS = 2.5
-"""Silence, in hints of that time, from which an entry's part of a hot organisation's burst waits
-for its next one. Each side of a cut could otherwise use up a burst before silence shows it."""
-HELD_FOR: Millis = 30_000.0
-"""How long the part of a silent entry is held back; a cut that lasts is then taken for a loss."""
-HINT_TIME: Millis = 40.0
-"""Tokens of this time are kept beyond the burst, one at least. A full bucket takes none in until it
-hears of what others have admitted; without them an organisation at its limit would miss these."""
-SHORTEST_WAIT: Millis = 20.0
-"""Shortest time after which a refused caller is asked back; the next hint has come by then."""
-LONGEST_DEBT: Millis = 5_000.0
-"""A bucket is in debt by at most its burst and the tokens of this time, whatever others tell."""
-FIRST_LEVEL = 1.0
-"""Tokens of each bucket when a process starts: many that start together hand out little."""
-FIRST_BURST = 4.0
-"""Tokens that it has beside these once it hears all others: what callers send again who were served
-by nobody during a restart of all."""
-NEWCOMER_TIME: Millis = 2_000.0
-"""Time after the start in which the counts of the others are first heard."""
-COUNT_KEPT: Millis = 60_000.0
-"""How long another entry's count of an organisation that it does not tell any more is kept."""
+HOT_HINT_INTERVAL: Millis = 80.0
+"""Shortest time between two hints of each entry while an organisation is hot."""
+HOT_HINT_INTERVAL_PER_ENTRY: Millis = 3.5
+"""Time between two such hints for each entry in the deployment, if that is longer. It bounds the
+cost of hints for each entry of a deployment with hundreds of entries."""
+RECENT_HINT_INTERVALS = 2.5
+"""Silence of a peer, in hint intervals, from which its share of a hot organisation's burst is
+reserved until its next hint. Each side of a partition could otherwise use up a whole burst before
+the silence is detected."""
+SILENT_SHARE_HELD_FOR: Millis = 30_000.0
+"""How long the share of a silent entry is withheld; after that time the entry counts as lost."""
+HINT_DELAY_ALLOWANCE: Millis = 40.0
+"""The capacity of a bucket exceeds the burst by the tokens of this time, and by at least one token.
+A full bucket gains no tokens while the hints about requests admitted elsewhere are on their way;
+without the allowance an organisation at its limit would lose the tokens of that time."""
+MIN_RETRY_DELAY: Millis = 20.0
+"""Shortest delay after which a refused caller may retry; the next hint has arrived by then."""
+MAX_DEBT_TIME: Millis = 5_000.0
+"""The debt of a bucket is at most its burst and the tokens of this time, whatever peers report."""
+INITIAL_TOKENS = 1.0
+"""Tokens in each bucket when a process starts. It is small since many processes may start at the
+same time."""
+INITIAL_BURST = 4.0
+"""Tokens that a bucket has in addition once the process hears all its peers. They serve the retries
+of callers that no entry served during a restart of all entries."""
+STARTUP_TIME: Millis = 2_000.0
+"""Time after the start in which a process receives the counts of its peers for the first time."""
+PEER_COUNT_TTL: Millis = 60_000.0
+"""How long a peer's count of an organisation is kept after the peer last reported it."""
 
 
 class Admission(Struct, frozen=True, kw_only=True):
-    """Whether a request is below its organisation's limit.
+    """Whether a request is within its organisation's limit.
 
     Attributes:
-        granted: Whether it is.
-        wait: Otherwise, when the organisation's next token comes, over the whole deployment.
-        level: Tokens that were left, for the log; negative in debt.
-        heard: Entries whose counts are known, this one included.
-        entries: Entries that may be admitting.
+        granted: Whether the request is admitted.
+        wait: For a refused request, the time until the organisation's next token, over the whole
+            deployment.
+        level: Tokens left in the bucket, for the log; negative when the bucket is in debt.
+        heard: Number of entries whose counts are known, this one included.
+        entries: Number of entries that may be admitting requests.
     """
 
     granted: bool
@@ -91,12 +100,12 @@
 
 
 class Neighbour(Struct, frozen=True, kw_only=True):
-    """Another entry.
+    """Another entry of the deployment, a peer of this one.
 
     Attributes:
-        name: Its name.
-        heard: When its last hint came, ``None`` when it is only listed.
-        leaving: Whether it has said that it leaves.
+        name: The entry's name.
+        heard: When its last hint arrived, ``None`` when the entry is only listed.
+        leaving: Whether the entry has announced that it shuts down.
     """
 
     name: str
@@ -105,10 +114,10 @@
 
 
 class RequestLimits:
-    """One entry's view of all limits. Not safe for threads; times are passed in.
+    """One entry's view of all request limits. Not thread-safe; the caller passes the time in.
 
     Args:
-        now: When this process started to count.
+        now: When this process started to count requests.
     """
 
     def __init__(self, now: Millis) -> None:
@@ -119,36 +128,36 @@
         self._peers: dict[str, PeerCounts] = {}
         self._entries = 1
         self._heard = 1
-        self._near = 1
-        self._gained = 0.0
-        self._settled_at: Millis = now + MADE_UP_IN
+        self._recently_heard = 1
+        self._startup_gain = 0.0
+        self._full_refill_at: Millis = now + REDUCED_REFILL_TIME
         self._hot_until: Millis = -math.inf
-        self._own: dict[str, int] = {}
-        self._changed: dict[str, Millis] = {}
+        self._own_counts: dict[str, int] = {}
+        self._changed_at: dict[str, Millis] = {}
 
     @property
     def entries(self) -> int:
-        """Entries that may be admitting, this one included."""
+        """Number of entries that may be admitting requests, this one included."""
         return self._entries
 
     @property
     def heard(self) -> int:
-        """Entries among them whose counts are known, this one included."""
+        """Number of those entries whose counts are known, this one included."""
         return self._heard
 
     @property
-    def hot_heartbeat(self) -> Millis:
+    def hot_hint_interval(self) -> Millis:
         """Time between two hints of each entry while an organisation is hot."""
-        return max(HOT_HEARTBEAT, self._entries * HOT_HEARTBEAT_BY_ENTRIES)
+        return max(HOT_HINT_INTERVAL, self._entries * HOT_HINT_INTERVAL_PER_ENTRY)
 
-    def is_hot(self, now: Millis) -> bool:
-        """Whether some organisation may reach its limit in a moment."""
+    def has_hot_organisation(self, now: Millis) -> bool:
+        """Return whether any organisation may reach its limit within moments."""
         return now < self._hot_until
 
     def configure(self, limits: Mapping[str, RateLimit], now: Millis) -> None:
-        """Take the limits of a configuration; use so far counts on.
+        """Replace the limits; tokens that were taken before the change stay taken.
 
-        A raised burst can be used at once; a lowered one holds from now on.
+        A raised burst is available at once; a lowered one applies from now on.
         """
         for name, bucket in list(self._buckets.items()):
             limit = limits.get(name)
@@ -157,7 +166,7 @@
                 continue
             if limit == bucket.limit:
                 continue
-            self._fill(bucket, now)
+            self._refill(bucket, now)
             bucket.level += max(0.0, limit.burst - bucket.limit.burst) * self._share
             bucket.limit = limit
             bucket.level = min(bucket.level, self._capacity(limit))
@@ -166,12 +175,12 @@
         for name in limits:
             self._names.setdefault(organisation_key(name), []).append(name)
 
-    def set_entries(self, neighbours: Iterable[Neighbour], now: Millis) -> None:
-        """Take who the other entries are and when each was heard."""
-        near, heard, entries = 1, 1, 1
-        near_for = NEAR_HEARTBEATS * self.hot_heartbeat
+    def update_peers(self, peers: Iterable[Neighbour], now: Millis) -> None:
+        """Update which other entries exist and when each was last heard."""
+        recently_heard, heard, entries = 1, 1, 1
+        recent_for = RECENT_HINT_INTERVALS * self.hot_hint_interval
         fallen_silent = []
-        for each in neighbours:
+        for each in peers:
             peer = self._peers.get(each.name)
             if peer is None:
                 peer = self._peers[each.name] = PeerCounts(listed_at=now)
@@ -180,62 +189,66 @@
             if is_silent and not peer.is_silent and not each.leaving:
                 fallen_silent.append(peer)
             peer.is_silent = is_silent
-            if is_silent and (each.leaving or since > HELD_FOR):
+            if is_silent and (each.leaving or since > SILENT_SHARE_HELD_FOR):
                 continue
             entries += 1
             if is_silent:
                 continue
             heard += 1
-            near += 1 if since <= near_for else 0
-        self._near = near
+            recently_heard += 1 if since <= recent_for else 0
+        self._recently_heard = recently_heard
         if (heard, entries) != (self._heard, self._entries):
-            self._share_anew(heard, entries, now)
-        # When all fall silent together it is this process that has stood still.
+            self._update_share(heard, entries, now)
+        # If all peers fall silent at the same time, it is this process that was paused.
         if fallen_silent and heard > 1:
-            self._charge_silence(len(fallen_silent) / heard, now)
+            self._charge_silent_peers(len(fallen_silent) / heard, now)
         for peer in fallen_silent:
             for count in peer.counts.values():
                 count.is_stale = True
 
     def admit(self, organisation: str, now: Millis) -> Admission:
-        """Take a token for a request, or return when the next one comes."""
+        """Take a token for a request, or refuse it with the time until the next token."""
         limit = self._limits.get(organisation)
         if limit is None:
             return Admission(granted=True)
         bucket = self._bucket(organisation, limit)
-        self._fill(bucket, now)
-        if bucket.level - self._waiting_for_hints(bucket) >= 1.0:
-            self._take(bucket, 1.0, now)
-            self._note(organisation, 1, now)
+        self._refill(bucket, now)
+        if bucket.level - self._reserved_for_late_peers(bucket) >= 1.0:
+            self._consume(bucket, 1.0, now)
+            self._add_to_own_count(organisation, 1, now)
             return self._admission(bucket, now, granted=True)
         return self._admission(bucket, now, granted=False)
 
-    def give_back(self, organisation: str, now: Millis) -> None:
+    def refund(self, organisation: str, now: Millis) -> None:
         """Return the token of a request that no upstream has run."""
         bucket = self._buckets.get(organisation)
         if bucket is None:
             return
-        self._fill(bucket, now)
+        self._refill(bucket, now)
         bucket.level = min(self._capacity(bucket.limit), bucket.level + 1.0)
-        self._note(organisation, -1, now)
+        self._add_to_own_count(organisation, -1, now)
 
-    def counts(self, now: Millis, *, within: Millis) -> dict[int, int]:
-        """Return the counts that have changed of late, for the other entries.
+    def recent_counts(self, now: Millis, *, within: Millis) -> dict[int, int]:
+        """Return this entry's counts that have changed recently, by organisation key.
 
         Args:
             now: The present instant.
-            within: How long ago; a count is told several times, since hints get lost.
+            within: How long ago the count may have changed. A count is sent several times, since
+                hints may be lost.
         """
         return {
-            organisation_key(name): self._own[name] % COUNT_MODULUS
-            for name, changed in self._changed.items()
-            if now - changed < within
+            organisation_key(name): self._own_counts[name] % COUNT_MODULUS
+            for name, changed_at in self._changed_at.items()
+            if now - changed_at < within
         }
 
-    def receive(
+    def apply_peer_counts(
         self, peer_name: str, incarnation: str, counts: Mapping[int, int], now: Millis
     ) -> None:
-        """Take what another entry has admitted; doubled and late hints change nothing twice."""
+        """Charge the buckets for requests that a peer has admitted.
+
+        A hint that is duplicated or late does not charge a request twice.
+        """
         peer = self._peers.get(peer_name)
         if peer is None:
             peer = self._peers[peer_name] = PeerCounts(listed_at=now)
@@ -245,146 +258,148 @@
             peer.counts = {}
         for key, value in counts.items():
             for name in self._names.get(key, ()):
-                self._take_count(peer, name, value, now, is_first=is_new)
+                self._apply_count(peer, name, value, now, is_first=is_new)
 
     def forget_idle(self, now: Millis, *, idle: Millis) -> None:
-        """Drop what is kept of organisations that have been idle."""
+        """Drop full buckets, own counts unchanged for ``idle``, and expired counts of peers."""
         for name, bucket in list(self._buckets.items()):
-            self._fill(bucket, now)
+            self._refill(bucket, now)
             if bucket.level >= self._capacity(bucket.limit):
                 del self._buckets[name]
-        for name, changed in list(self._changed.items()):
-            if now - changed >= idle:
-                del self._changed[name]
+        for name, changed_at in list(self._changed_at.items()):
+            if now - changed_at >= idle:
+                del self._changed_at[name]
         for peer in self._peers.values():
             for name, count in list(peer.counts.items()):
-                if now - count.heard >= COUNT_KEPT:
+                if now - count.received_at >= PEER_COUNT_TTL:
                     del peer.counts[name]
 
     @property
     def _share(self) -> float:
+        """Share of each limit that the entries whose counts are known may use."""
         return self._heard / self._entries
 
-    def _rate(self, limit: RateLimit, now: Millis) -> float:
+    def _refill_rate(self, limit: RateLimit, now: Millis) -> float:
         """Return the tokens that a bucket gains in a millisecond."""
-        filled = 1.0 if now >= self._settled_at else FILLED
-        return limit.per_second * filled * self._share / 1000.0
+        fraction = 1.0 if now >= self._full_refill_at else REDUCED_REFILL
+        return limit.per_second * fraction * self._share / 1000.0
 
     def _capacity(self, limit: RateLimit) -> float:
-        late = max(1.0, limit.per_second * HINT_TIME / 1000.0)
-        return max(1.0, (limit.burst + late) * self._share)
+        allowance = max(1.0, limit.per_second * HINT_DELAY_ALLOWANCE / 1000.0)
+        return max(1.0, (limit.burst + allowance) * self._share)
 
     def _bucket(self, name: str, limit: RateLimit) -> TokenBucket:
         bucket = self._buckets.get(name)
         if bucket is None:
-            # As if it had been there since the start.
-            first = FIRST_LEVEL + min(FIRST_BURST, limit.burst) * self._gained
-            bucket = TokenBucket(limit=limit, level=first, filled=self._started)
+            # A new bucket has the level that it would have if it existed since the process started.
+            tokens = INITIAL_TOKENS + min(INITIAL_BURST, limit.burst) * self._startup_gain
+            bucket = TokenBucket(limit=limit, level=tokens, refilled_at=self._started)
             self._buckets[name] = bucket
         return bucket
 
-    def _fill(self, bucket: TokenBucket, now: Millis) -> None:
-        elapsed = max(0.0, now - bucket.filled)
-        bucket.filled = max(now, bucket.filled)
-        level = bucket.level + elapsed * self._rate(bucket.limit, now)
+    def _refill(self, bucket: TokenBucket, now: Millis) -> None:
+        elapsed = max(0.0, now - bucket.refilled_at)
+        bucket.refilled_at = max(now, bucket.refilled_at)
+        level = bucket.level + elapsed * self._refill_rate(bucket.limit, now)
         bucket.level = min(level, self._capacity(bucket.limit))
 
-    def _take(self, bucket: TokenBucket, requests: float, now: Millis) -> None:
-        bucket.take(requests, now)
+    def _consume(self, bucket: TokenBucket, tokens: float, now: Millis) -> None:
+        bucket.consume(tokens, now)
         if self._is_hot(bucket):
             self._hot_until = now + HOT_TIME
 
     def _is_hot(self, bucket: TokenBucket) -> bool:
-        """Whether an organisation is hot."""
-        if bucket.limit.burst < HOT_BURST:
+        """Return whether the bucket's organisation may reach its limit within moments."""
+        if bucket.limit.burst < MIN_HOT_BURST:
             return False
         return bucket.level < self._capacity(bucket.limit) * HOT_LEVEL
 
-    def _waiting_for_hints(self, bucket: TokenBucket) -> float:
-        """Return the tokens that entries may be taking which were not heard just now."""
+    def _reserved_for_late_peers(self, bucket: TokenBucket) -> float:
+        """Return the tokens that peers whose hints are overdue may be taking."""
         if not self._is_hot(bucket):
             return 0.0
-        return bucket.limit.burst * (self._heard - self._near) / self._entries
+        return bucket.limit.burst * (self._heard - self._recently_heard) / self._entries
 
-    def _note(self, name: str, requests: int, now: Millis) -> None:
-        self._own[name] = self._own.get(name, 0) + requests
-        self._changed[name] = now
+    def _add_to_own_count(self, name: str, requests: int, now: Millis) -> None:
+        self._own_counts[name] = self._own_counts.get(name, 0) + requests
+        self._changed_at[name] = now
 
-    def _take_count(
+    def _apply_count(
         self, peer: PeerCounts, name: str, value: int, now: Millis, *, is_first: bool
     ) -> None:
         known = peer.counts.get(name)
         if known is None:
-            peer.counts[name] = PeerCount(value=value, heard=now)
-            self._take_away(name, self._first_count(value, now, is_first=is_first), now)
+            peer.counts[name] = PeerCount(value=value, received_at=now)
+            self._charge(name, self._admitted_by_first_count(value, now, is_first=is_first), now)
             return
         admitted = count_difference(value, known.value)
-        known.value, known.heard = value, now
+        known.value, known.received_at = value, now
         if known.is_stale:
-            # Its part was held back while it was not heard.
+            # The peer's share was withheld while it was silent.
             known.is_stale = False
             return
-        self._take_away(name, admitted, now)
+        self._charge(name, admitted, now)
 
-    def _first_count(self, value: int, now: Millis, *, is_first: bool) -> int:
-        """Return what a count that was not known before says of the last moments."""
+    def _admitted_by_first_count(self, value: int, now: Millis, *, is_first: bool) -> int:
+        """Return how many recent requests a count stands for that was not known before."""
         if not is_first:
-            # Told because it has just changed; how far it was before is not known.
+            # The peer reports the count because it has just changed; its earlier value is unknown.
             return 1
-        if now - self._started < NEWCOMER_TIME:
+        if now - self._started < STARTUP_TIME:
             return 0
-        # The other process has just started, and counts since then.
+        # The peer's process has just started, and counts from its start.
         return value
 
-    def _take_away(self, name: str, requests: int, now: Millis) -> None:
+    def _charge(self, name: str, requests: int, now: Millis) -> None:
         if not requests:
             return
         limit = self._limits[name]
         bucket = self._bucket(name, limit)
-        self._fill(bucket, now)
-        self._take(bucket, requests, now)
-        debt = limit.burst + limit.per_second * LONGEST_DEBT / 1000.0
-        bucket.level = max(-debt, min(self._capacity(limit), bucket.level))
+        self._refill(bucket, now)
+        self._consume(bucket, requests, now)
+        max_debt = limit.burst + limit.per_second * MAX_DEBT_TIME / 1000.0
+        bucket.level = max(-max_debt, min(self._capacity(limit), bucket.level))
 
-    def _share_anew(self, heard: int, entries: int, now: Millis) -> None:
-        """Take another part of each limit; what fell away is taken out of the levels too."""
+    def _update_share(self, heard: int, entries: int, now: Millis) -> None:
+        """Change the share of each limit, and reduce the levels of hot buckets by a lost share."""
         gained = heard / entries - self._share
         lost = max(0.0, -gained)
-        is_new = now - self._started < NEWCOMER_TIME
+        is_starting = now - self._started < STARTUP_TIME
         for bucket in self._buckets.values():
-            self._fill(bucket, now)
+            self._refill(bucket, now)
             if self._is_hot(bucket):
                 left = bucket.level - bucket.limit.burst * lost
                 bucket.level = max(min(bucket.level, 0.0), left)
         self._heard, self._entries = heard, entries
-        self._settled_at = now + MADE_UP_IN
-        if is_new and gained > 0.0:
-            self._gained += gained
+        self._full_refill_at = now + REDUCED_REFILL_TIME
+        if is_starting and gained > 0.0:
+            self._startup_gain += gained
         for bucket in self._buckets.values():
-            if is_new and gained > 0.0:
-                bucket.level += min(FIRST_BURST, bucket.limit.burst) * gained
+            if is_starting and gained > 0.0:
+                bucket.level += min(INITIAL_BURST, bucket.limit.burst) * gained
             bucket.level = min(bucket.level, self._capacity(bucket.limit))
 
-    def _charge_silence(self, share: float, now: Millis) -> None:
-        """Take what entries that have fallen silent have probably admitted since they were heard.
+    def _charge_silent_peers(self, ratio: float, now: Millis) -> None:
+        """Charge for requests that peers have probably admitted between their last hint and now.
 
-        An organisation that has used up its tokens here has probably done so there too. Of others
-        nothing is taken: they are below their limits, and the silent ones may be down.
+        An organisation that has used up its tokens at this entry has probably done so at the silent
+        peers too. Other organisations are not charged: they are below their limits, and the silent
+        peers may be down.
 
         Args:
-            share: The silent ones by those that are heard.
+            ratio: Number of peers that have fallen silent, divided by the number of entries heard.
             now: The present instant.
         """
         for bucket in self._buckets.values():
-            self._fill(bucket, now)
+            self._refill(bucket, now)
             if bucket.level < 1.0:
-                bucket.level -= bucket.taken_of_late(now) * share
+                bucket.level -= bucket.recently_consumed(now) * ratio
 
     def _admission(self, bucket: TokenBucket, now: Millis, *, granted: bool) -> Admission:
         wait = 0.0
         if not granted:
-            rate = self._rate(bucket.limit, now)
-            wait = max(SHORTEST_WAIT, (1.0 - bucket.level) / rate)
+            rate = self._refill_rate(bucket.limit, now)
+            wait = max(MIN_RETRY_DELAY, (1.0 - bucket.level) / rate)
         return Admission(
             granted=granted,
             wait=wait,
--- a/packages/core/src/carobspool_core/organisations/_token_bucket.py
+++ b/packages/core/src/carobspool_core/organisations/_token_bucket.py
@@ -1,4 +1,4 @@
-"""One organisation's token bucket, as one entry keeps it for the whole deployment."""
+"""The token bucket of one organisation, which each entry keeps for the whole deployment."""
 
 from __future__ import annotations
 
@@ -8,39 +8,40 @@
 from carobspool_core.organisations._directory import RateLimit
 
 SILENT_AFTER: Millis = 700.0
-"""Silence after which an entry's part is held back: one heartbeat and the way of the next."""
+"""Silence after which an entry's share is withheld: one heartbeat interval and the transit time of
+the next heartbeat."""
 
 
 class TokenBucket(Struct):
-    """Tokens of one organisation, and how many were taken of late.
+    """The tokens of one organisation, and how many were consumed recently.
 
     Attributes:
         limit: The organisation's limit.
-        level: Tokens that are left; negative in debt.
-        filled: When tokens were last added.
-        taken: Tokens taken since ``taken_since``.
-        taken_before: Tokens taken in the span before that.
-        taken_since: When the present span began.
+        level: Tokens that are left; negative when the bucket is in debt.
+        refilled_at: When tokens were last added.
+        consumed: Tokens consumed in the current window.
+        consumed_before: Tokens consumed in the window before that.
+        window_started: When the current window began.
     """
 
     limit: RateLimit
     level: float
-    filled: Millis
-    taken: float = 0.0
-    taken_before: float = 0.0
-    taken_since: Millis = 0.0
-
-    def take(self, requests: float, now: Millis) -> None:
-        """Take tokens, and remember how many of late."""
-        since = now - self.taken_since
+    refilled_at: Millis
+    consumed: float = 0.0
+    consumed_before: float = 0.0
+    window_started: Millis = 0.0
+
+    def consume(self, tokens: float, now: Millis) -> None:
+        """Remove tokens, and count them in the current window."""
+        since = now - self.window_started
         if since >= SILENT_AFTER:
-            self.taken_before = self.taken if since < 2 * SILENT_AFTER else 0.0
-            self.taken, self.taken_since = 0.0, now
-        self.level -= requests
-        self.taken += requests
-
-    def taken_of_late(self, now: Millis) -> float:
-        """Return the tokens taken in about the time after which an entry counts as silent."""
-        if now - self.taken_since >= 2 * SILENT_AFTER:
+            self.consumed_before = self.consumed if since < 2 * SILENT_AFTER else 0.0
+            self.consumed, self.window_started = 0.0, now
+        self.level -= tokens
+        self.consumed += tokens
+
+    def recently_consumed(self, now: Millis) -> float:
+        """Return the tokens consumed in about the time after which an entry counts as silent."""
+        if now - self.window_started >= 2 * SILENT_AFTER:
             return 0.0
-        return self.taken + self.taken_before
+        return self.consumed + self.consumed_before
--- a/packages/core/tests/limits_model.py
+++ b/packages/core/tests/limits_model.py
@@ -1,4 +1,4 @@
-"""A fleet of entries that share request limits, with hints that are late, lost and doubled."""
+"""Model of entries that share request limits, with hints that are late, lost and duplicated."""
 
 from __future__ import annotations
 
@@ -13,38 +13,52 @@
 from carobspool_core.organisations import Neighbour, RateLimit, RequestLimits
 
 STEP: Millis = 5.0
-LOOK: Millis = 50.0
-HEARTBEAT: Millis = 500.0
-ANNOUNCEMENT: Millis = 2_000.0
+PEER_UPDATE_INTERVAL: Millis = 50.0
+HEARTBEAT_INTERVAL: Millis = 500.0
+ANNOUNCEMENT_INTERVAL: Millis = 2_000.0
 WINDOW: Millis = 5_000.0
 OVERRUN = 0.1
-SLACK = 20
+"""Fraction by which the requests in a window may exceed the limit."""
+SLACK_REQUESTS = 20
+"""Requests beyond that fraction that a window may hold."""
 
 
 @dataclass(slots=True)
 class ModelEntry:
-    """One entry and what it has heard."""
+    """One entry, and the hints that it has received from the others.
+
+    Attributes:
+        name: The entry's name.
+        limits: The limits under test.
+        incarnation: Number of restarts of the entry.
+        heard: When the last hint of each other entry arrived.
+        has_unsent_counts: Whether requests were admitted since the last hint was sent.
+        hint_sent_at: When the last hint was sent.
+        newest_hints: Incarnation and sequence number of the newest hint from each other entry.
+        frozen_until: Until when the process is paused.
+        down_until: Until when the process is not running.
+    """
 
     name: str
     limits: RequestLimits
     incarnation: int = 0
     heard: dict[str, Millis] = field(default_factory=dict)
-    untold: bool = False
-    told: Millis = 0.0
-    sent: dict[str, tuple[int, int]] = field(default_factory=dict)
+    has_unsent_counts: bool = False
+    hint_sent_at: Millis = 0.0
+    newest_hints: dict[str, tuple[int, int]] = field(default_factory=dict)
     frozen_until: Millis = 0.0
     down_until: Millis = 0.0
 
 
 class Fleet:
-    """Entries, the hints between them, and what they have admitted.
+    """Entries, the hints between them, and the requests that they have admitted.
 
     Args:
-        entries: How many.
-        limits: By organisation.
-        seed: Of delays and losses.
-        delay: Longest way of a hint.
-        loss: Share of the hints that are lost.
+        entries: Number of entries.
+        limits: The limits by organisation.
+        seed: Seed of the delays and losses of hints.
+        delay: Upper bound of the random part of a hint's delay.
+        loss: Fraction of the hints that are lost, and of those that are duplicated.
     """
 
     def __init__(
@@ -66,20 +80,21 @@
         self._hints: list[tuple[Millis, int, str, str, int, int, dict[int, int]]] = []
         self._numbers = itertools.count()
         self._sequence = itertools.count()
-        self.entries = [self._started(f"e{number}") for number in range(entries)]
+        self.entries = [self._new_entry(f"e{number}") for number in range(entries)]
         self._newest: dict[tuple[str, str], tuple[int, int]] = {}
 
-    def _started(self, name: str, incarnation: int = 0) -> ModelEntry:
+    def _new_entry(self, name: str, incarnation: int = 0) -> ModelEntry:
         limits = RequestLimits(self.now)
         limits.configure(self.limits, self.now)
         return ModelEntry(name, limits, incarnation=incarnation)
 
     def run(self, duration: Millis, arrivals: Iterable[tuple[Millis, int, str]] = ()) -> None:
-        """Let time pass.
+        """Advance the time.
 
         Args:
-            duration: How long.
-            arrivals: Requests as time from now, number of the entry and organisation, in order.
+            duration: By how much.
+            arrivals: Requests as time from now, number of the entry and organisation, sorted by
+                time.
         """
         begin = self.now
         waiting = list(arrivals)[::-1]
@@ -89,42 +104,42 @@
             while waiting and begin + waiting[-1][0] <= self.now:
                 _, number, organisation = waiting.pop()
                 self.request(number, organisation)
-            self._tell()
+            self._send_due_hints()
 
     def request(self, number: int, organisation: str) -> bool:
-        """Send a request to an entry; one that is away passes it to the next."""
+        """Send a request to an entry, or to the next one that is running."""
         for offset in range(len(self.entries)):
             entry = self.entries[(number + offset) % len(self.entries)]
             if self._is_up(entry):
                 break
         else:
             return False
-        self._look(entry)
+        self._update_peers(entry)
         granted = entry.limits.admit(organisation, self.now).granted
         if granted:
             self.admitted[organisation].append(self.now)
-            entry.untold = True
+            entry.has_unsent_counts = True
         else:
             self.refused[organisation] += 1
         return granted
 
-    def cut(self, groups: Mapping[int, int]) -> None:
-        """Part the entries into groups that do not hear each other; empty to heal."""
+    def partition(self, groups: Mapping[int, int]) -> None:
+        """Split the entries into groups without hints between them; an empty mapping heals."""
         self.groups = {self.entries[number].name: group for number, group in groups.items()}
 
     def restart(self, number: int, down: Millis) -> None:
-        """Kill an entry; it is back after some time, with nothing known."""
+        """Kill an entry and start it again after some time, without its earlier state."""
         old = self.entries[number]
-        entry = self._started(old.name, old.incarnation + 1)
+        entry = self._new_entry(old.name, old.incarnation + 1)
         entry.down_until = self.now + down
         self.entries[number] = entry
 
     def freeze(self, number: int, duration: Millis) -> None:
-        """Let an entry stand still; it hears what was sent meanwhile after its first requests."""
+        """Pause an entry; it then serves requests before it receives the hints sent meanwhile."""
         self.entries[number].frozen_until = self.now + duration
 
     def worst_window(self, organisation: str) -> int:
-        """Return the most requests admitted in a sliding window."""
+        """Return the largest number of requests admitted in any sliding window."""
         times = self.admitted[organisation]
         most, first = 0, 0
         for last, time in enumerate(times):
@@ -134,46 +149,49 @@
         return most
 
     def bound(self, organisation: str) -> float:
-        """Return the most that a window may hold."""
+        """Return the largest number of requests that a window may hold."""
         limit = self.limits[organisation]
         tokens = limit.per_second * WINDOW / 1000.0 + limit.burst
-        return tokens * (1.0 + OVERRUN) + SLACK
+        return tokens * (1.0 + OVERRUN) + SLACK_REQUESTS
 
     def _is_up(self, entry: ModelEntry) -> bool:
         return self.now >= entry.down_until and self.now >= entry.frozen_until
 
-    def _look(self, entry: ModelEntry) -> None:
+    def _update_peers(self, entry: ModelEntry) -> None:
         others = [
             Neighbour(name=each.name, heard=entry.heard.get(each.name))
             for each in self.entries
             if each.name != entry.name
         ]
-        entry.limits.set_entries(others, self.now)
+        entry.limits.update_peers(others, self.now)
 
-    def _tell(self) -> None:
+    def _send_due_hints(self) -> None:
         for entry in self.entries:
             if not self._is_up(entry):
                 continue
-            if self.now % LOOK < STEP:
-                self._look(entry)
-            if self.now % ANNOUNCEMENT < STEP:
+            if self.now % PEER_UPDATE_INTERVAL < STEP:
+                self._update_peers(entry)
+            if self.now % ANNOUNCEMENT_INTERVAL < STEP:
                 self._send(entry, within=10_000.0)
-            elif self.now % HEARTBEAT < STEP:
+            elif self.now % HEARTBEAT_INTERVAL < STEP:
                 self._send(entry, within=1_300.0)
-            elif entry.untold or self._is_due_while_hot(entry):
+            elif entry.has_unsent_counts or self._is_hot_hint_due(entry):
                 self._send(entry, within=200.0)
 
-    def _is_due_while_hot(self, entry: ModelEntry) -> bool:
+    def _is_hot_hint_due(self, entry: ModelEntry) -> bool:
         limits = entry.limits
-        return limits.is_hot(self.now) and self.now - entry.told >= limits.hot_heartbeat
+        return (
+            limits.has_hot_organisation(self.now)
+            and self.now - entry.hint_sent_at >= limits.hot_hint_interval
+        )
 
     def _send(self, entry: ModelEntry, *, within: Millis) -> None:
-        entry.untold = False
-        entry.told = self.now
-        counts = entry.limits.counts(self.now, within=within)
+        entry.has_unsent_counts = False
+        entry.hint_sent_at = self.now
+        counts = entry.limits.recent_counts(self.now, within=within)
         sequence = next(self._sequence)
         for other in self.entries:
-            if other is entry or self._is_cut(entry, other):
+            if other is entry or self._is_partitioned(entry, other):
                 continue
             for _ in range(2 if self.random.random() < self._loss else 1):
                 if self.random.random() < self._loss:
@@ -182,12 +200,12 @@
                 hint = (entry.name, other.name, entry.incarnation, sequence, counts)
                 heapq.heappush(self._hints, (at, next(self._numbers), *hint))
 
-    def _is_cut(self, one: ModelEntry, other: ModelEntry) -> bool:
+    def _is_partitioned(self, one: ModelEntry, other: ModelEntry) -> bool:
         return self.groups.get(one.name, 0) != self.groups.get(other.name, 0)
 
     def _deliver(self) -> None:
         by_name = {each.name: each for each in self.entries}
-        held = []
+        delayed = []
         while self._hints and self._hints[0][0] <= self.now:
             hint = heapq.heappop(self._hints)
             _, _, sender, receiver, incarnation, sequence, counts = hint
@@ -195,27 +213,27 @@
             if self.now < entry.down_until:
                 continue
             if not self._is_up(entry):
-                held.append(hint)
+                delayed.append(hint)
                 continue
-            newest = entry.sent.get(sender, (-1, -1))
+            newest = entry.newest_hints.get(sender, (-1, -1))
             if (incarnation, sequence) <= newest:
                 continue
-            entry.sent[sender] = (incarnation, sequence)
+            entry.newest_hints[sender] = (incarnation, sequence)
             entry.heard[sender] = self.now
-            entry.limits.receive(sender, str(incarnation), counts, self.now)
-        for hint in held:
+            entry.limits.apply_peer_counts(sender, str(incarnation), counts, self.now)
+        for hint in delayed:
             heapq.heappush(self._hints, (self.now + STEP, *hint[1:]))
 
 
 def poisson(
     seed: int, rate: float, duration: Millis, entries: Iterable[int], organisation: str
 ) -> list[tuple[Millis, int, str]]:
-    """Return arrivals at random times and entries."""
-    drawn = random.Random(seed)
+    """Return the arrivals of a Poisson process of ``rate`` per second, each at a random entry."""
+    draw = random.Random(seed)
     numbers = list(entries)
-    found = []
-    time = drawn.expovariate(rate) * 1000.0
+    arrivals = []
+    time = draw.expovariate(rate) * 1000.0
     while time < duration:
-        found.append((time, drawn.choice(numbers), organisation))
-        time += drawn.expovariate(rate) * 1000.0
-    return found
+        arrivals.append((time, draw.choice(numbers), organisation))
+        time += draw.expovariate(rate) * 1000.0
+    return arrivals
--- a/packages/core/tests/test_request_limits.py
+++ b/packages/core/tests/test_request_limits.py
@@ -1,4 +1,4 @@
-"""Request limits that many entries keep together."""
+"""Tests request limits that many entries enforce jointly."""
 
 from __future__ import annotations
 
@@ -9,12 +9,16 @@
 
 from carobspool_core.organisations import Neighbour, RateLimit, RequestLimits
 from carobspool_core.organisations._peer_counts import organisation_key
-from carobspool_core.organisations._request_limits import FILLED, HELD_FOR, LONGEST_DEBT
+from carobspool_core.organisations._request_limits import (
+    MAX_DEBT_TIME,
+    REDUCED_REFILL,
+    SILENT_SHARE_HELD_FOR,
+)
 
 LARGE = RateLimit(per_second=39.0, burst=39.0)
 SMALL = RateLimit(per_second=2.0, burst=2.0)
-HOT = 8.0
-"""A hot organisation's demand as a multiple of its limit."""
+DEMAND_FACTOR = 8.0
+"""Request rate of a hot organisation as a multiple of its limit."""
 
 
 def _one_entry(limit: RateLimit) -> RequestLimits:
@@ -32,7 +36,7 @@
 
 def test_a_single_entry_admits_the_burst_and_then_the_rate() -> None:
     limits = _one_entry(RateLimit(per_second=10.0, burst=20.0))
-    # With one token more for what hints tell late.
+    # One token more than the burst is the allowance for the delay of hints.
     assert _admit_all(limits, 60_000.0) == 21
     assert _admit_all(limits, 61_000.0) == 10
 
@@ -46,10 +50,10 @@
     assert limits.admit("o", 60_000.0 + wait + 1.0).granted
 
 
-def test_a_request_that_no_upstream_ran_is_given_back() -> None:
+def test_the_token_of_a_request_that_no_upstream_ran_is_refunded() -> None:
     limits = _one_entry(RateLimit(per_second=1.0, burst=1.0))
     assert _admit_all(limits, 60_000.0) == 2
-    limits.give_back("o", 60_000.0)
+    limits.refund("o", 60_000.0)
     assert limits.admit("o", 60_000.0).granted
 
 
@@ -72,54 +76,56 @@
     assert _admit_all(limits, 60_000.0) == 4
 
 
-def test_what_others_admit_is_counted_once_however_often_it_is_told() -> None:
-    """Hints are doubled and told several times; counted twice they would refuse for nothing."""
+def test_a_peer_count_that_is_received_repeatedly_is_charged_once() -> None:
+    """Hints are duplicated and counts resent; charging twice refuses requests below the limit."""
     limits = _one_entry(RateLimit(per_second=10.0, burst=10.0))
     key = organisation_key("o")
-    limits.receive("e2", "1", {key: 0}, 60_000.0)
+    limits.apply_peer_counts("e2", "1", {key: 0}, 60_000.0)
     for _ in range(3):
-        limits.receive("e2", "1", {key: 6}, 60_000.0)
+        limits.apply_peer_counts("e2", "1", {key: 6}, 60_000.0)
     assert _admit_all(limits, 60_000.0) == 5
 
 
-def test_a_peer_that_jumps_puts_nobody_in_endless_debt() -> None:
-    """A broken count would otherwise shut an organisation out for hours."""
+def test_a_jump_of_a_peer_count_causes_bounded_debt() -> None:
+    """A wrong count would otherwise refuse all requests of an organisation for hours."""
     limits = _one_entry(RateLimit(per_second=1.0, burst=1.0))
     key = organisation_key("o")
-    limits.receive("e2", "1", {key: 0}, 60_000.0)
-    limits.receive("e2", "1", {key: 30_000}, 60_000.0)
-    assert limits.admit("o", 60_000.0 + LONGEST_DEBT + 2_001.0).granted
+    limits.apply_peer_counts("e2", "1", {key: 0}, 60_000.0)
+    limits.apply_peer_counts("e2", "1", {key: 30_000}, 60_000.0)
+    assert limits.admit("o", 60_000.0 + MAX_DEBT_TIME + 2_001.0).granted
 
 
-def test_the_part_of_a_silent_entry_is_held_back_for_a_while() -> None:
-    """The sides of a cut would otherwise admit the whole limit each."""
+def test_the_share_of_a_silent_entry_is_withheld_for_a_limited_time() -> None:
+    """Each side of a network partition would otherwise admit the whole limit."""
     limits = _one_entry(RateLimit(per_second=10.0, burst=100.0))
-    limits.set_entries([Neighbour(name="e2", heard=60_000.0)], 60_000.0)
+    limits.update_peers([Neighbour(name="e2", heard=60_000.0)], 60_000.0)
     limits.admit("o", 60_000.0)
-    limits.set_entries([Neighbour(name="e2", heard=60_000.0)], 61_000.0)
+    limits.update_peers([Neighbour(name="e2", heard=60_000.0)], 61_000.0)
     assert 49 <= _admit_all(limits, 61_000.0) <= 51
-    later = 60_000.0 + HELD_FOR + 1.0
-    limits.set_entries([Neighbour(name="e2", heard=60_000.0)], later)
+    later = 60_000.0 + SILENT_SHARE_HELD_FOR + 1.0
+    limits.update_peers([Neighbour(name="e2", heard=60_000.0)], later)
     assert limits.entries == 1
 
 
-def test_an_entry_that_leaves_holds_nothing_back() -> None:
+def test_no_share_is_withheld_for_an_entry_that_shuts_down() -> None:
     limits = _one_entry(SMALL)
-    limits.set_entries([Neighbour(name="e2", heard=60_000.0, leaving=True)], 62_000.0)
+    limits.update_peers([Neighbour(name="e2", heard=60_000.0, leaving=True)], 62_000.0)
     assert limits.entries == 1
 
 
-def test_idle_organisations_cost_nothing() -> None:
+def test_no_state_is_kept_for_idle_organisations() -> None:
     limits = _one_entry(SMALL)
     limits.admit("o", 1_000.0)
     limits.forget_idle(60_000.0, idle=30_000.0)
     assert not limits._buckets
-    assert not limits._changed
+    assert not limits._changed_at
 
 
-def _hot(entries: int, *, seed: int, at: list[int] | None = None) -> list[tuple[float, int, str]]:
+def _hot_arrivals(
+    entries: int, *, seed: int, at: list[int] | None = None
+) -> list[tuple[float, int, str]]:
     numbers = range(entries) if at is None else at
-    rate = LARGE.per_second * HOT
+    rate = LARGE.per_second * DEMAND_FACTOR
     return poisson(seed, rate, 12_000.0, numbers, "hot")
 
 
@@ -128,27 +134,27 @@
 def test_a_hot_organisation_stays_within_its_limit(entries: int, spread: str) -> None:
     fleet = Fleet(entries, {"hot": LARGE})
     fleet.run(3_000.0)
-    fleet.run(12_000.0, _hot(entries, seed=3, at=[0] if spread == "one" else None))
+    fleet.run(12_000.0, _hot_arrivals(entries, seed=3, at=[0] if spread == "one" else None))
     assert fleet.worst_window("hot") <= fleet.bound("hot")
-    # What it may have, it gets.
-    assert len(fleet.admitted["hot"]) >= FILLED * LARGE.per_second * 12.0
+    # The organisation receives the rate that its limit allows.
+    assert len(fleet.admitted["hot"]) >= REDUCED_REFILL * LARGE.per_second * 12.0
 
 
-def test_a_cut_does_not_double_a_limit() -> None:
-    """Each side hears nothing of what the other admits."""
+def test_a_network_partition_does_not_double_a_limit() -> None:
+    """Neither side learns of the requests that the other admits."""
     fleet = Fleet(12, {"hot": LARGE})
     fleet.run(3_000.0)
-    arrivals = _hot(12, seed=5)
+    arrivals = _hot_arrivals(12, seed=5)
     fleet.run(3_000.0, arrivals)
-    fleet.cut({number: number % 2 for number in range(12)})
-    fleet.run(8_000.0, _hot(12, seed=6))
-    fleet.cut({})
-    fleet.run(6_000.0, _hot(12, seed=7))
+    fleet.partition({number: number % 2 for number in range(12)})
+    fleet.run(8_000.0, _hot_arrivals(12, seed=6))
+    fleet.partition({})
+    fleet.run(6_000.0, _hot_arrivals(12, seed=7))
     assert fleet.worst_window("hot") <= fleet.bound("hot")
 
 
-def test_a_restart_of_all_does_not_hand_out_the_burst_again() -> None:
-    """No process is left that knows what was used just before."""
+def test_a_restart_of_all_entries_does_not_grant_the_burst_again() -> None:
+    """No process is left that knows which tokens were used just before the restart."""
     limit = RateLimit(per_second=10.0, burst=60.0)
     fleet = Fleet(12, {"hot": limit})
     fleet.run(8_000.0)
@@ -159,8 +165,8 @@
     assert fleet.worst_window("hot") <= fleet.bound("hot")
 
 
-def test_after_a_restart_of_all_quiet_organisations_are_served() -> None:
-    """Callers whom nobody served meanwhile come at once, to the entries that are back first."""
+def test_quiet_organisations_are_served_after_a_restart_of_all_entries() -> None:
+    """Callers that got no answer during the restart retry at the first entries that are back."""
     fleet = Fleet(24, {"quiet": RateLimit(per_second=5.0, burst=5.0)})
     fleet.run(5_000.0)
     for number in range(24):
@@ -170,8 +176,8 @@
     assert fleet.refused["quiet"] <= 2
 
 
-def test_an_entry_that_stood_still_does_not_admit_as_if_it_were_alone() -> None:
-    """Its bucket has filled meanwhile, and it has heard nothing of what the others admitted."""
+def test_a_resumed_entry_does_not_admit_the_whole_limit_alone() -> None:
+    """During the pause its bucket has refilled, and it has received no counts from its peers."""
     fleet = Fleet(6, {"hot": RateLimit(per_second=20.0, burst=60.0)})
     fleet.run(5_000.0)
     fleet.freeze(0, 4_000.0)
@@ -182,7 +188,7 @@
 
 @pytest.mark.parametrize("limit", [SMALL, LARGE], ids=["small", "large"])
 def test_an_organisation_below_its_limit_is_not_refused(limit: RateLimit) -> None:
-    """It is seen by one of two dozen entries at a time; a part each would refuse nearly all."""
+    """Each request reaches one of two dozen entries; equal shares would refuse nearly all."""
     fleet = Fleet(23, {"quiet": limit})
     fleet.run(3_000.0)
     step = 1_000.0 / (0.9 * limit.per_second)
@@ -191,7 +197,7 @@
     assert fleet.refused["quiet"] == 0
 
 
-def test_a_burst_within_the_limit_is_admitted_whole() -> None:
+def test_a_burst_within_the_limit_is_admitted_completely() -> None:
     fleet = Fleet(23, {"quiet": LARGE})
     fleet.run(3_000.0)
     fleet.run(1_000.0, [(5.0 * each, each % 23, "quiet") for each in range(int(LARGE.burst))])
@@ -226,19 +232,23 @@
 @example(faults=_CUT_AND_RESTART_ALL, seed=0, loss=0.0)
 @example(faults=_TWO_RESTARTS_OF_ALL, seed=1, loss=0.0)
 @example(faults=[("cut", 0, 100.0), ("cut", 1, 1356.0)], seed=1, loss=0.02)
-@example(faults=[("cut", 0, 100.0), ("cut", 0, 100.0), ("cut", 0, 1451.0)], seed=102, loss=0.0)
+@example(
+    faults=[("cut", 0, 100.0), ("cut", 0, 100.0), ("cut", 0, 1451.0)],
+    seed=102,
+    loss=0.0,
+)
 @given(faults=_FAULTS, seed=st.integers(0, 1_000), loss=st.sampled_from([0.0, 0.02, 0.1]))
-def test_the_limit_holds_through_cuts_restarts_and_pauses(
+def test_the_limit_holds_through_partitions_restarts_and_pauses(
     faults: list[tuple[str, int, float]], seed: int, loss: float
 ) -> None:
-    """Up to six of them, while an organisation sends eight times its limit."""
+    """Up to six faults occur in turn while an organisation sends eight times its limit."""
     fleet = Fleet(6, {"hot": LARGE}, seed=seed, loss=loss, delay=40.0)
     fleet.run(3_000.0)
     for number, (kind, entry, pause) in enumerate(faults):
         if kind == "cut":
-            fleet.cut({each: int(each <= entry) for each in range(6)})
+            fleet.partition({each: int(each <= entry) for each in range(6)})
         elif kind == "heal":
-            fleet.cut({})
+            fleet.partition({})
         elif kind == "restart":
             fleet.restart(entry, 600.0)
         elif kind == "freeze":
@@ -246,7 +256,7 @@
         else:
             for each in range(6):
                 fleet.restart(each, 600.0)
-        rate = LARGE.per_second * HOT
+        rate = LARGE.per_second * DEMAND_FACTOR
         fleet.run(pause, poisson(seed + number, rate, pause, range(6), "hot"))
-    fleet.run(3_000.0, poisson(seed, LARGE.per_second * HOT, 3_000.0, range(6), "hot"))
+    fleet.run(3_000.0, poisson(seed, LARGE.per_second * DEMAND_FACTOR, 3_000.0, range(6), "hot"))
     assert fleet.worst_window("hot") <= fleet.bound("hot")
--- a/packages/node/src/carobspool_node/organisations/_request_quota.py
+++ b/packages/node/src/carobspool_node/organisations/_request_quota.py
@@ -1,4 +1,4 @@
-"""The request limits of organisations at this entry, counted together with the other entries."""
+"""Enforces request limits at this entry, with counts shared among all entries."""
 
 from __future__ import annotations
 
@@ -13,21 +13,22 @@
     RequestLimits,
 )
 
-LOOK_INTERVAL: Millis = 50.0
-"""Time between two looks at which entries are heard."""
-TOLD_FOR: Millis = 200.0
-"""How long a count is told after it has changed: hints get lost, and the next ones make up."""
-TOLD_IN_HEARTBEATS_FOR: Millis = 1_300.0
-"""How long heartbeats tell it, which come twice a second."""
+PEER_UPDATE_INTERVAL: Millis = 50.0
+"""Shortest time between two updates of which peers are heard."""
+HINT_RESEND_TIME: Millis = 200.0
+"""How long hints repeat a count after it has changed; a later hint makes up for a lost one."""
+HEARTBEAT_RESEND_TIME: Millis = 1_300.0
+"""How long heartbeats repeat it, which are sent twice a second."""
 TOLD_IN_ANNOUNCEMENTS_FOR: Millis = 10_000.0
-"""How long announcements tell it, which come every two seconds and to whoever has just started."""
+"""How long announcements repeat it, which are sent every two seconds and to each process that has
+just started."""
 IDLE_TIME: Millis = 30_000.0
-TIDY_INTERVAL: Millis = 10_000.0
-"""Time between two looks for idle organisations, which go through all that are active."""
+IDLE_SWEEP_INTERVAL: Millis = 10_000.0
+"""Shortest time between two sweeps for idle organisations; a sweep visits all active ones."""
 
 
 class RequestQuota:
-    """Serialises the use of the limits; safe for threads.
+    """Serialises access to the request limits; thread-safe.
 
     Args:
         clock: The process's clock.
@@ -39,75 +40,80 @@
         self._neighbours = neighbours
         self._lock = threading.Lock()
         self._limits = RequestLimits(clock.now())
-        self._looked: Millis = float("-inf")
+        self._peers_updated_at: Millis = float("-inf")
         self._has_limits = False
-        self._untold = False
-        self._told: Millis = float("-inf")
-        self._tidied: Millis = clock.now()
+        self._has_unsent_counts = False
+        self._counts_sent_at: Millis = float("-inf")
+        self._idle_swept_at: Millis = clock.now()
 
     @property
     def has_untold(self) -> bool:
-        """Whether the others are to be told counts now."""
-        if self._untold:
+        """Whether counts are to be sent to the other entries now."""
+        if self._has_unsent_counts:
             return True
         now = self._clock.now()
-        return self._limits.is_hot(now) and now - self._told >= self._limits.hot_heartbeat
+        return (
+            self._limits.has_hot_organisation(now)
+            and now - self._counts_sent_at >= self._limits.hot_hint_interval
+        )
 
     def configure(self, directory: OrganisationDirectory | None) -> None:
-        """Take the organisations of a new configuration."""
+        """Apply the limits of a new configuration."""
         limits = {} if directory is None else directory.limits()
         with self._lock:
             self._limits.configure(limits, self._clock.now())
             self._has_limits = bool(limits)
 
     def admit(self, organisation: str) -> Admission:
-        """Count a request of an organisation, or return when it may come again."""
+        """Count a request of an organisation, or refuse it with the time until the next token."""
         with self._lock:
             now = self._clock.now()
-            self._look(now)
+            self._update_peers(now)
             admission = self._limits.admit(organisation, now)
-            self._untold = self._untold or (admission.granted and self._has_limits)
+            self._has_unsent_counts = self._has_unsent_counts or (
+                admission.granted and self._has_limits
+            )
             return admission
 
     def give_back(self, organisation: str) -> None:
-        """Take back the count of a request that no upstream has run."""
+        """Undo the count of a request that no upstream has run."""
         with self._lock:
-            self._limits.give_back(organisation, self._clock.now())
-            self._untold = self._has_limits
+            self._limits.refund(organisation, self._clock.now())
+            self._has_unsent_counts = self._has_limits
 
     def counts_to_tell(self, *, is_heartbeat: bool) -> Mapping[int, int]:
-        """Return the counts for a hint that goes to all other entries now."""
-        within = TOLD_IN_HEARTBEATS_FOR if is_heartbeat else TOLD_FOR
+        """Return the counts for a hint to all other entries, and record that they are sent now."""
+        within = HEARTBEAT_RESEND_TIME if is_heartbeat else HINT_RESEND_TIME
         with self._lock:
             now = self._clock.now()
-            self._untold = False
-            self._told = now
-            return self._limits.counts(now, within=within)
+            self._has_unsent_counts = False
+            self._counts_sent_at = now
+            return self._limits.recent_counts(now, within=within)
 
     def recent_counts(self, within: Millis) -> Mapping[int, int]:
-        """Return the counts that have changed within some time."""
+        """Return the counts that have changed within a time before now."""
         with self._lock:
-            return self._limits.counts(self._clock.now(), within=within)
+            return self._limits.recent_counts(self._clock.now(), within=within)
 
     def receive(self, peer: str, incarnation: str, counts: Mapping[int, int]) -> None:
-        """Take what another entry has admitted."""
+        """Charge the limits for requests that another entry has admitted."""
         with self._lock:
             if self._has_limits:
                 now = self._clock.now()
-                self._look(now)
-                self._limits.receive(peer, incarnation, counts, now)
+                self._update_peers(now)
+                self._limits.apply_peer_counts(peer, incarnation, counts, now)
 
     def tidy(self) -> None:
-        """Drop what is kept of organisations that are idle, now and then."""
+        """Drop the state of idle organisations, at most once in `IDLE_SWEEP_INTERVAL`."""
         now = self._clock.now()
-        if now - self._tidied < TIDY_INTERVAL:
+        if now - self._idle_swept_at < IDLE_SWEEP_INTERVAL:
             return
-        self._tidied = now
+        self._idle_swept_at = now
         with self._lock:
             self._limits.forget_idle(now, idle=IDLE_TIME)
 
-    def _look(self, now: Millis) -> None:
-        if now - self._looked < LOOK_INTERVAL:
+    def _update_peers(self, now: Millis) -> None:
+        if now - self._peers_updated_at < PEER_UPDATE_INTERVAL:
             return
-        self._looked = now
-        self._limits.set_entries(self._neighbours(), now)
+        self._peers_updated_at = now
+        self._limits.update_peers(self._neighbours(), now)
