--- a/packages/core/src/carobspool_core/organisations/__init__.py
+++ b/packages/core/src/carobspool_core/organisations/__init__.py
@@ -1,7 +1,7 @@
-"""Organisations of direct entries: their keys, their request limits, and what belongs to them.
+"""Organisations of direct entries: their keys, their request limits and the names of their jobs.
 
-Decisions only: no network, no threads, no clock. What a header or a datagram looks like stands in
-the node and in the platform's adapter.
+This package decides only: it uses no network, no threads and no clock. The formats of headers and
+datagrams are defined in the node and in the platform's adapter.
 """
 
 from carobspool_core.organisations._directory import Organisation, OrganisationDirectory, RateLimit
--- a/packages/core/src/carobspool_core/organisations/_directory.py
+++ b/packages/core/src/carobspool_core/organisations/_directory.py
@@ -1,4 +1,4 @@
-"""The organisations that the operator declares, and whose key is whose."""
+"""The organisations that the operator declares, and the look-up of an organisation by its key."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
     """How many requests an organisation may have run, over all entries together.
 
     Attributes:
-        per_second: Requests a second.
-        burst: Requests that may come at once after a pause.
+        per_second: Sustained rate in requests per second.
+        burst: Requests that are admitted at once after a pause.
     """
 
     per_second: float
@@ -23,10 +23,11 @@
     """A customer that sends requests and owns jobs.
 
     Attributes:
-        name: The operator's name for it.
+        name: The name that the operator gives the organisation.
         key_digests: Digests of its valid keys.
-        priority: Goes before the priority of a route; 0 is the most urgent, ``None`` is none.
-        limit: Of its requests, ``None`` is no limit.
+        priority: Takes precedence over the priority of a route; 0 is the most urgent, ``None``
+            leaves the route's priority in place.
+        limit: Limit of its requests, ``None`` for no limit.
     """
 
     name: str
@@ -36,10 +37,10 @@
 
 
 class OrganisationDirectory:
-    """The organisations of one version of the configuration; it never changes.
+    """The organisations of one version of the configuration; immutable.
 
     Args:
-        organisations: All of them. Of two that hold the same key the first keeps it.
+        organisations: All organisations. If two hold the same key, the key belongs to the first.
     """
 
     __slots__ = ("_by_digest", "_by_name")
@@ -53,11 +54,11 @@
                 self._by_digest.setdefault(digest, each)
 
     def __len__(self) -> int:
-        """Return how many there are."""
+        """Return the number of organisations."""
         return len(self._by_name)
 
     def __iter__(self) -> Iterator[Organisation]:
-        """Yield each of them."""
+        """Iterate over the organisations."""
         return iter(self._by_name.values())
 
     def holder_of(self, digest: bytes) -> Organisation | None:
@@ -65,5 +66,5 @@
         return self._by_digest.get(digest)
 
     def limits(self) -> Mapping[str, RateLimit]:
-        """Return the limits of those that have one, by name."""
+        """Return the limits by name, of the organisations that have one."""
         return {each.name: each.limit for each in self if each.limit is not None}
--- a/packages/core/src/carobspool_core/organisations/_keys.py
+++ b/packages/core/src/carobspool_core/organisations/_keys.py
@@ -1,7 +1,7 @@
 """Bearer keys: how a request presents one, and the digest by which it is looked up.
 
-Keys are looked up by their digest: the time that a look-up takes then tells nothing of how much of
-a guess is right, and what is kept in memory is no key.
+Keys are looked up by their digest. The duration of a look-up then reveals nothing about how much of
+a guessed key is correct, and no key is kept in memory.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 def read_bearer(value: str) -> str | None:
-    """Return the key in an ``Authorization`` header, ``None`` when it holds no single one."""
+    """Return the key of an ``Authorization`` header, ``None`` unless it holds exactly one."""
     scheme, _, key = value.strip().partition(" ")
     key = key.strip()
     if scheme.lower() != _SCHEME or not key or any(each.isspace() for each in key):
--- a/packages/core/src/carobspool_core/organisations/_unknown_keys.py
+++ b/packages/core/src/carobspool_core/organisations/_unknown_keys.py
@@ -1,11 +1,12 @@
-"""When an unknown key may be denied for good.
+"""Decides when an entry may finally deny a request with an unknown key.
 
-Failure: a key is added, and its holder's first request meets an entry that has not heard of the new
-configuration yet. A denial is final for the caller, though the key is good. So an entry asks
-another one for its version first, once for all the unknown keys of a moment.
+Failure: the operator adds a key, and its holder's first request reaches an entry that has not yet
+received the new configuration. The caller takes a denial as final, though the key is valid. The
+entry therefore first asks a peer for its configuration version. One such call serves all unknown
+keys that arrive within `CONFIRMED_FOR`.
 
-An entry that can ask nobody, and whose store does not answer, cannot tell a false key from a new
-one. It says so and has the caller come back, at another entry as a rule.
+An entry that reaches no peer, and whose store does not answer, cannot tell an invalid key from a
+new one. It says so and asks the caller to retry; the retry usually reaches another entry.
 """
 
 from __future__ import annotations
@@ -15,22 +16,22 @@
 from carobspool_core._clock import Millis
 
 CONFIRMED_FOR: Millis = 250.0
-"""How long the answer of another entry counts. It bounds what a flood of false keys costs to four
-calls a second between entries, and none to the store."""
+"""How long a confirmation by a peer stays valid. It bounds the cost of a flood of invalid keys to
+four calls a second between entries, and none to the store."""
 
 
 class UnknownKeys:
-    """Whether the configuration known here was the newest a moment ago. Not safe for threads."""
+    """Records when a peer last confirmed the local configuration as current. Not thread-safe."""
 
-    __slots__ = ("_confirmed",)
+    __slots__ = ("_confirmed_at",)
 
     def __init__(self) -> None:
-        self._confirmed: Millis = -math.inf
+        self._confirmed_at: Millis = -math.inf
 
     def may_deny(self, now: Millis) -> bool:
-        """Whether an unknown key is a false one."""
-        return now - self._confirmed < CONFIRMED_FOR
+        """Return whether an unknown key is invalid rather than too new to be known here."""
+        return now - self._confirmed_at < CONFIRMED_FOR
 
-    def confirm(self, asked: Millis) -> None:
-        """Note that another entry knew nothing newer when it was asked."""
-        self._confirmed = max(self._confirmed, asked)
+    def confirm(self, asked_at: Millis) -> None:
+        """Record that a peer knew no newer configuration when it was asked."""
+        self._confirmed_at = max(self._confirmed_at, asked_at)
--- a/packages/core/tests/test_organisations.py
+++ b/packages/core/tests/test_organisations.py
@@ -1,4 +1,4 @@
-"""Keys, the directory of organisations, names of jobs and the judgement of unknown keys."""
+"""Tests keys, the directory of organisations, internal job names and the denial of unknown keys."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 
 @pytest.mark.parametrize("value", ["Bearer abc", "bearer abc", "BEARER  abc", " Bearer abc "])
-def test_a_key_is_read_however_the_scheme_is_spelled(value: str) -> None:
+def test_a_key_is_read_whatever_the_case_and_spacing_of_the_scheme(value: str) -> None:
     assert read_bearer(value) == "abc"
 
 
 @pytest.mark.parametrize("value", ["", "Bearer", "Bearer ", "abc", "Basic abc", "Bearer a b"])
-def test_a_header_without_a_single_key_holds_none(value: str) -> None:
+def test_no_key_is_read_from_a_header_without_exactly_one(value: str) -> None:
     assert read_bearer(value) is None
 
 
@@ -37,7 +37,7 @@
     assert len(directory) == 2
 
 
-def test_a_key_of_two_organisations_stays_with_the_first() -> None:
+def test_a_key_of_two_organisations_belongs_to_the_first() -> None:
     digest = key_digest("shared")
     first = Organisation(name="first", key_digests=(digest,))
     second = Organisation(name="second", key_digests=(digest,))
@@ -58,13 +58,13 @@
 def test_no_id_reaches_the_job_of_another_organisation(
     first: tuple[str, str], second: tuple[str, str]
 ) -> None:
-    """An id that spells what another organisation's job is called would open it."""
+    """An id equal to the internal name of another organisation's job must not give access to it."""
     assert (qualified_job_id(*first) == qualified_job_id(*second)) == (first == second)
 
 
 @given(_IDS)
-def test_jobs_of_nobody_keep_their_ids(job_id: str) -> None:
-    """Records of the version before stand under them."""
+def test_jobs_without_an_owner_keep_their_ids(job_id: str) -> None:
+    """Records that the previous version stored are found under these ids."""
     assert qualified_job_id(job_id, None) == qualified_job_id(job_id, "")
     if "~" not in job_id:
         assert qualified_job_id(job_id, None) == job_id
@@ -76,7 +76,7 @@
 
 
 def test_an_unknown_key_is_denied_only_while_the_configuration_is_confirmed() -> None:
-    """A denial is final for the caller, and its key may be newer than what is known here."""
+    """The caller takes a denial as final, and its key may be newer than the local configuration."""
     unknown = UnknownKeys()
     assert not unknown.may_deny(1_000.0)
     unknown.confirm(1_000.0)
