--- a/packages/node/src/carobspool_node/organisations/__init__.py
+++ b/packages/node/src/carobspool_node/organisations/__init__.py
@@ -1,7 +1,7 @@
-"""Who calls a direct entry, and whether its organisation is below its limits.
+"""Identifies the organisation that calls a direct entry, and enforces its request limit.
 
-The reading of keys belongs here, the judgement of keys that are not known, and the counting of
-requests together with the other entries. Nothing here knows upstreams, jobs or sockets.
+This package reads keys, decides about unknown keys, and counts requests jointly with the other
+entries. It does not depend on upstreams, jobs or sockets.
 """
 
 from carobspool_node.organisations._access import (
--- a/packages/node/src/carobspool_node/organisations/_access.py
+++ b/packages/node/src/carobspool_node/organisations/_access.py
@@ -1,6 +1,7 @@
 """Finds the organisation of a request by its key.
 
-An unknown key is denied only when the configuration known here is the newest (`UnknownKeys`).
+An unknown key is denied only if the local configuration was just confirmed as the newest
+(`UnknownKeys`).
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 
 
 class KeyProblem(StrEnum):
-    """Why a request is not let in."""
+    """Why the key of a request is refused."""
 
     MISSING = "no single key in the form 'Authorization: Bearer KEY'"
     UNKNOWN = "the key is not known"
@@ -30,10 +31,10 @@
 
 
 class CallerKeyRefused(Exception):
-    """A request is not let in.
+    """Raised when the key of a request is missing, unknown or cannot be checked.
 
     Attributes:
-        problem: Why.
+        problem: The reason.
     """
 
     def __init__(self, problem: KeyProblem) -> None:
@@ -42,43 +43,43 @@
 
     @property
     def is_final(self) -> bool:
-        """Whether the same key will not be let in later either."""
+        """Whether a retry with the same key would be refused too."""
         return self.problem is not KeyProblem.UNSURE
 
 
 class Access(Struct, frozen=True, kw_only=True):
-    """Who sends a request.
+    """The identified sender of a request.
 
     Attributes:
         organisation: The organisation, ``None`` when the request needs none.
-        is_declared: Whether the operator declares organisations at all. If so, keys and names of
-            organisations that callers send are not passed on.
+        has_organisations: Whether the operator declares any organisations. If so, keys and
+            organisation names that callers send are not forwarded to upstreams.
     """
 
     organisation: Organisation | None = None
-    is_declared: bool = False
+    has_organisations: bool = False
 
     @property
     def owner(self) -> str | None:
         """Name of the organisation; empty for a request that needs none, ``None`` when the operator
         declares no organisations."""
-        if not self.is_declared:
+        if not self.has_organisations:
             return None
         return "" if self.organisation is None else self.organisation.name
 
 
-ANYBODY = Access()
-"""A caller where the operator declares no organisations."""
+UNRESTRICTED = Access()
+"""The access of every caller if the operator declares no organisations."""
 
 
 class CallerAccess:
-    """Finds organisations by keys; safe for threads.
+    """Finds organisations by their keys; thread-safe.
 
     Args:
         clock: The process's clock.
-        directory: Returns the organisations in force, ``None`` when the operator declares none.
-        confirm: Asks whether the configuration known here is the newest, takes over a newer one,
-            and returns whether it could be told.
+        directory: Returns the current organisations, ``None`` when the operator declares none.
+        confirm: Asks a peer whether the local configuration is the newest, applies a newer one, and
+            returns whether the local configuration is known to be the newest afterwards.
     """
 
     def __init__(
@@ -91,44 +92,45 @@
         self._clock = clock
         self._directory = directory
         self._confirm = confirm
-        self._unknown = UnknownKeys()
-        self._asking = threading.Lock()
+        self._unknown_keys = UnknownKeys()
+        self._confirm_lock = threading.Lock()
 
     def identify(self, authorization: Sequence[bytes], *, is_exempt: bool = False) -> Access:
-        """Return who sends a request.
+        """Return the sender of a request.
 
         Args:
-            authorization: Values of all its ``Authorization`` headers.
-            is_exempt: Whether it needs no key.
+            authorization: The values of all ``Authorization`` headers of the request.
+            is_exempt: Whether the request needs no key.
 
         Raises:
-            CallerKeyRefused: It has no key, or one that is not known.
+            CallerKeyRefused: The request has no single key, its key is unknown, or the key cannot
+                be checked now.
         """
         directory = self._directory()
         if directory is None:
-            return ANYBODY
+            return UNRESTRICTED
         if is_exempt:
-            return Access(is_declared=True)
+            return Access(has_organisations=True)
         key = read_bearer(authorization[0].decode("latin-1")) if len(authorization) == 1 else None
         if key is None:
             raise CallerKeyRefused(KeyProblem.MISSING)
         digest = key_digest(key)
-        found = directory.holder_of(digest) or self._found_later(digest)
-        return Access(organisation=found, is_declared=True)
+        found = directory.holder_of(digest) or self._find_after_confirmation(digest)
+        return Access(organisation=found, has_organisations=True)
 
-    def _found_later(self, digest: bytes) -> Organisation:
-        """Return who holds a key that was not known a moment ago."""
-        with self._asking:
-            # What others asked meanwhile holds for this key too.
+    def _find_after_confirmation(self, digest: bytes) -> Organisation:
+        """Return the holder of a key that is unknown until the configuration is confirmed."""
+        with self._confirm_lock:
+            # A confirmation that another thread obtained meanwhile applies to this key too.
             found = self._holder_of(digest)
             if found is not None:
                 return found
             now = self._clock.now()
-            if self._unknown.may_deny(now):
+            if self._unknown_keys.may_deny(now):
                 raise CallerKeyRefused(KeyProblem.UNKNOWN)
             if not self._confirm():
                 raise CallerKeyRefused(KeyProblem.UNSURE)
-            self._unknown.confirm(now)
+            self._unknown_keys.confirm(now)
         found = self._holder_of(digest)
         if found is None:
             raise CallerKeyRefused(KeyProblem.UNKNOWN)
--- a/packages/node/src/carobspool_node/organisations/_request_counts.py
+++ b/packages/node/src/carobspool_node/organisations/_request_counts.py
@@ -1,4 +1,4 @@
-"""Counts of admitted requests as they stand in hints."""
+"""Binary encoding of the counts of admitted requests in hints."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 
 def pack_counts(counts: Mapping[int, int]) -> bytes:
-    """Return counts by the organisation's key as bytes, six for each."""
+    """Encode counts by organisation key, six bytes for each."""
     return b"".join(_COUNT.pack(key, count) for key, count in counts.items())
 
 
 def unpack_counts(packed: bytes) -> dict[int, int]:
-    """Return counts by the organisation's key.
+    """Decode counts by organisation key.
 
     Raises:
-        UnusableRecordError: The bytes are no counts.
+        UnusableRecordError: The length is not a whole number of counts.
     """
     if len(packed) % _COUNT.size:
         problem = Problem(
