--- a/tests/direct/test_organisations.py
+++ b/tests/direct/test_organisations.py
@@ -1,4 +1,4 @@
-"""Organisations at direct entries: keys, limits over all entries, and whose a job is."""
+"""Tests organisations at direct entries: keys, limits over all entries, and ownership of jobs."""
 
 from __future__ import annotations
 
@@ -46,21 +46,21 @@
 )
 
 
-def _answer(request: ServedRequest, connection: ServerConnection) -> None:
+def _answer_ok(request: ServedRequest, connection: ServerConnection) -> None:
     connection.answer(request)
 
 
-def _configure(system: Deployment, version: int, *tenants: dict[str, Any]) -> None:
+def _write_configuration(system: Deployment, version: int, *tenants: dict[str, Any]) -> None:
     declared = configuration(version, *ROUTES) | {"tenants": list(tenants)}
     system.objects.put("config", "main", declared)
 
 
 @pytest.fixture(scope="module")
 def running(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Served]:
-    """Two entries that hear each other."""
+    """Two entries that receive each other's hints, and the organisations `TENANTS`."""
     with deployment(tmp_path_factory.mktemp("organisations"), *ROUTES) as system:
-        _configure(system, 2, *TENANTS)
-        system.server("plain", _answer)
+        _write_configuration(system, 2, *TENANTS)
+        system.server("plain", _answer_ok)
         system.server("engine", stream_events(3))
         first, second = system.entry("e1"), system.entry("e2")
         eventually(lambda: first.logged("event=peer_seen peer=e2"), 5.0)
@@ -69,27 +69,27 @@
         yield system, first, second
 
 
-def _last_seen(system: Deployment, request_id: str) -> ServedRequest:
+def _seen_request(system: Deployment, request_id: str) -> ServedRequest:
     seen = [each for server in system.servers for each in server.seen]
     return next(each for each in seen if each.request_id == request_id)
 
 
 def test_the_server_sees_the_organisation_and_never_the_key(running: Served) -> None:
-    """A key that reaches a server can be used by whoever reads the server's log."""
+    """A key that reaches a server could be used by anyone who reads the server's log."""
     system, entry, _ = running
     headers = ACME | {"Tenant": "other"}
     assert entry.call("GET", "/safe/x", headers=headers, request_id="r1").status == 200
-    seen = _last_seen(system, "r1")
+    seen = _seen_request(system, "r1")
     assert seen.headers["tenant"] == "acme"
     assert "authorization" not in seen.headers
 
 
-def test_an_exempt_route_needs_no_key_and_names_nobody(running: Served) -> None:
-    """A server that trusts the name would take the caller's word for who it is."""
+def test_an_exempt_route_needs_no_key_and_forwards_no_organisation(running: Served) -> None:
+    """The header is not verified on an exempt route, and the server would trust it."""
     system, entry, _ = running
     headers = OTHER | {"Tenant": "acme"}
     assert entry.call("GET", "/open/x", headers=headers, request_id="r2").status == 200
-    seen = _last_seen(system, "r2")
+    seen = _seen_request(system, "r2")
     assert "tenant" not in seen.headers
     assert "authorization" not in seen.headers
 
@@ -103,8 +103,8 @@
     assert entry.call("GET", "/safe/x").status == 401
 
 
-def test_keys_stand_in_no_log(running: Served) -> None:
-    """Logs are read by more people than keys are meant for."""
+def test_keys_are_not_logged(running: Served) -> None:
+    """Logs have more readers than keys are meant for."""
     _, entry, _ = running
     entry.call("GET", "/safe/x", headers=ACME)
     entry.call("GET", "/safe/x", headers={"Authorization": "Bearer wrong-key"})
@@ -112,19 +112,19 @@
     assert not entry.logged("wrong-key")
 
 
-def test_false_keys_cost_the_store_nothing(running: Served) -> None:
-    """Anybody can send them, and the store serves all entries."""
+def test_invalid_keys_cause_no_store_calls(running: Served) -> None:
+    """Anyone can send invalid keys, and the store serves all entries."""
     _, entry, _ = running
-    before = _store_calls(entry)
+    before = _store_call_count(entry)
     started = time.monotonic()
     for number in range(100):
         headers = {"Authorization": f"Bearer false-{number}"}
         assert entry.call("GET", "/safe/x", headers=headers).status == 401
-    # Watches and polls go on meanwhile, a few calls a second.
-    assert _store_calls(entry) - before <= 10 + 10 * (time.monotonic() - started)
+    # Watches and polls of the store continue during the test, at a few calls a second.
+    assert _store_call_count(entry) - before <= 10 + 10 * (time.monotonic() - started)
 
 
-def _store_calls(entry: Entry) -> float:
+def _store_call_count(entry: Entry) -> float:
     connection = http.client.HTTPConnection("127.0.0.1", entry.metrics_port, timeout=5.0)
     connection.request("GET", "/metrics")
     text = connection.getresponse().read().decode()
@@ -134,11 +134,11 @@
 
 
 def test_a_job_belongs_to_its_organisation(running: Served) -> None:
-    """Whoever guesses an id could otherwise read another organisation's results, or end its job."""
+    """Guessing an id must not suffice to read another organisation's results or to end its job."""
     system, first, second = running
     body = submission("j1-a", "j1-b")
     assert first.call("POST", "/batch/x", body=body, headers=ACME, request_id="j1").status == 202
-    results = eventually(lambda: _results(second, "j1", ACME), 5.0)
+    results = eventually(lambda: _all_results(second, "j1", ACME), 5.0)
     assert [each["state"] for each in results] == ["completed", "completed"]
     for entry in (first, second):
         assert entry.call("GET", "/api/lots/j1?after=0", headers=OTHER).status == 404
@@ -149,7 +149,7 @@
     assert {each.headers["tenant"] for each in items} == {"acme"}
 
 
-def _results(entry: Entry, job_id: str, headers: dict[str, str]) -> list[dict[str, Any]] | None:
+def _all_results(entry: Entry, job_id: str, headers: dict[str, str]) -> list[dict[str, Any]] | None:
     answer = entry.call("GET", f"/api/lots/{job_id}?after=0", headers=headers)
     if answer.status != 200:
         return None
@@ -157,8 +157,8 @@
     return list(page["results"]) if len(page["results"]) == page["total"] else None
 
 
-def test_two_organisations_may_use_the_same_id(running: Served) -> None:
-    """The second one would be told that it has submitted what is another's."""
+def test_two_organisations_may_use_the_same_job_id(running: Served) -> None:
+    """The second submission must not be taken for a repetition of the first organisation's job."""
     _, first, second = running
     for entry, headers, item in ((first, ACME, "j2-a"), (second, OTHER, "j2-b")):
         answer = entry.call(
@@ -166,33 +166,33 @@
         )
         assert answer.status == 202
     for headers, item in ((ACME, "j2-a"), (OTHER, "j2-b")):
-        results = eventually(lambda headers=headers: _results(first, "j2", headers), 5.0)
+        results = eventually(lambda headers=headers: _all_results(first, "j2", headers), 5.0)
         assert [each["id"] for each in results] == [item]
 
 
-def test_any_key_of_the_organisation_reads_its_job(running: Served) -> None:
+def test_each_key_of_the_organisation_can_read_its_job(running: Served) -> None:
     _, first, second = running
     body = submission("j3-a")
     assert first.call("POST", "/batch/x", body=body, headers=ACME, request_id="j3").status == 202
     other_key = {"Authorization": "Bearer acme-second"}
-    assert eventually(lambda: _results(second, "j3", other_key), 5.0)
+    assert eventually(lambda: _all_results(second, "j3", other_key), 5.0)
 
 
-def test_a_header_in_an_item_names_no_organisation(running: Served) -> None:
-    """A submitter could otherwise have its items run in another organisation's name."""
+def test_headers_of_an_item_do_not_change_its_organisation(running: Served) -> None:
+    """A submitter could otherwise have its items run under another organisation's name."""
     system, first, _ = running
     lot = json.loads(submission("j4-a"))
     lot["items"][0]["headers"] |= {"Tenant": "other", "Authorization": "Bearer other-key"}
     body = json.dumps(lot).encode()
     assert first.call("POST", "/batch/x", body=body, headers=ACME, request_id="j4").status == 202
-    eventually(lambda: _results(first, "j4", ACME), 5.0)
-    seen = _last_seen(system, "j4-a")
+    eventually(lambda: _all_results(first, "j4", ACME), 5.0)
+    seen = _seen_request(system, "j4-a")
     assert seen.headers["tenant"] == "acme"
     assert "authorization" not in seen.headers
 
 
 def test_a_limit_holds_over_both_entries(running: Served) -> None:
-    """An organisation at two entries would otherwise have its limit twice."""
+    """An organisation that calls two entries must not get its limit twice."""
     _, first, second = running
     headers = {"Authorization": "Bearer limited-key"}
     time.sleep(2.5)
@@ -212,8 +212,8 @@
     assert first.call("GET", "/safe/x", headers=ACME).status == 200
 
 
-def test_what_no_server_ran_is_not_counted(running: Served) -> None:
-    """An organisation would lose its limit to servers that are down."""
+def test_a_request_that_no_server_ran_does_not_count_towards_the_limit(running: Served) -> None:
+    """Unavailable servers would otherwise use up the organisation's limit."""
     _, entry, _ = running
     headers = {"Authorization": "Bearer limited-key"}
     time.sleep(2.5)
@@ -222,54 +222,54 @@
     assert entry.call("GET", "/safe/x", headers=headers).status == 200
 
 
-def test_keys_added_and_taken_away_are_in_force_at_each_entry(running: Served) -> None:
-    """A key that was taken away is in wrong hands, and a new one must not be denied."""
+def test_added_and_removed_keys_take_effect_at_each_entry(running: Served) -> None:
+    """A removed key may be compromised and must be denied; a new key must be accepted."""
     system, first, second = running
     added = {"Authorization": "Bearer new-key"}
-    _configure(system, 3, _tenant("acme", "acme-key", "new-key"), *TENANTS[1:])
+    _write_configuration(system, 3, _tenant("acme", "acme-key", "new-key"), *TENANTS[1:])
     for entry in (first, second):
         eventually(lambda entry=entry: entry.call("GET", "/safe/x", headers=added).status == 200, 2)
-    gone = {"Authorization": "Bearer acme-second"}
+    removed = {"Authorization": "Bearer acme-second"}
     for entry in (first, second):
-        assert entry.call("GET", "/safe/x", headers=gone).status == 401
+        assert entry.call("GET", "/safe/x", headers=removed).status == 401
 
 
-def test_a_new_key_is_not_denied_by_an_entry_that_has_not_heard_of_it(running: Served) -> None:
-    """A denial is final for the caller; the entry asks a peer before."""
+def test_a_new_key_is_not_denied_by_an_entry_with_an_older_configuration(running: Served) -> None:
+    """The caller takes a denial as final, so the entry asks a peer first."""
     system, first, second = running
     key = {"Authorization": "Bearer just-added"}
-    _configure(system, 4, _tenant("acme", "acme-key", "just-added"), *TENANTS[1:])
+    _write_configuration(system, 4, _tenant("acme", "acme-key", "just-added"), *TENANTS[1:])
     eventually(lambda: first.logged("event=configuration version=4"), 2.0)
     answer = second.call("GET", "/safe/x", headers=key)
     assert answer.status == 200
 
 
-def test_jobs_of_before_there_were_organisations_stay_readable(tmp_path: Path) -> None:
-    """Their callers were promised results, and now come with a key."""
+def test_jobs_submitted_before_organisations_were_declared_stay_readable(tmp_path: Path) -> None:
+    """The callers of these jobs were promised results, and now present a key."""
     with deployment(tmp_path, *ROUTES) as system:
         system.server("engine", stream_events(2))
         entry = system.entry("e1")
         body = submission("old-a")
         assert entry.call("POST", "/batch/x", body=body, request_id="old").status == 202
         eventually(lambda: finished(entry, "old"), 5.0)
-        _configure(system, 2, *TENANTS)
+        _write_configuration(system, 2, *TENANTS)
         eventually(lambda: entry.logged("event=configuration version=2"), 3.0)
-        assert eventually(lambda: _results(entry, "old", ACME), 3.0)
+        assert eventually(lambda: _all_results(entry, "old", ACME), 3.0)
         again = entry.call("POST", "/batch/x", body=body, headers=ACME, request_id="old")
         assert again.status == 202
         assert len([each for each in system.servers[0].seen if each.request_id == "old-a"]) == 1
         assert entry.call("GET", "/api/lots/old?after=0").status == 401
 
 
-def test_an_entry_without_a_configuration_tells_nobody_of_jobs(tmp_path: Path) -> None:
-    """Whose a job is it does not know: it would answer anybody, or say that there is none."""
+def test_an_entry_without_a_configuration_answers_no_job_calls(tmp_path: Path) -> None:
+    """The entry cannot tell who owns a job; it must neither serve the job nor report it missing."""
     with deployment(tmp_path, *ROUTES) as system:
-        _configure(system, 2, *TENANTS)
+        _write_configuration(system, 2, *TENANTS)
         system.server("engine", stream_events(2))
         first = system.entry("e1")
         body = submission("j-a")
         assert first.call("POST", "/batch/x", body=body, headers=ACME, request_id="j").status == 202
-        eventually(lambda: _results(first, "j", ACME), 5.0)
+        eventually(lambda: _all_results(first, "j", ACME), 5.0)
         first.signal(signal.SIGKILL)
         first.process.wait()
         system.objects.remove("config", "main")
@@ -281,8 +281,8 @@
                 assert answer.status == 503
 
 
-def test_each_request_of_a_kept_connection_shows_its_own_key(running: Served) -> None:
-    """The first key of a connection would otherwise open it for whoever comes after."""
+def test_each_request_on_a_kept_alive_connection_is_checked_by_its_own_key(running: Served) -> None:
+    """The first key on a connection must not authorise the requests that follow."""
     _, entry, _ = running
     connection = http.client.HTTPConnection("127.0.0.1", entry.port, timeout=5.0)
     statuses = []
--- a/tests/direct_harness.py
+++ b/tests/direct_harness.py
@@ -1,4 +1,4 @@
-"""Runs direct entries as processes against stand-ins of the platform in this process."""
+"""Runs direct entries as processes, against stand-ins of the platform in the test process."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 def route(prefix: str, kind: str, service: str, **changes: Any) -> dict[str, Any]:
-    """Return a route of the operator's configuration."""
+    """Return a route for a configuration, with defaults that ``changes`` override."""
     return {
         "name": f"r{prefix.strip('/')}",
         "host": HOST,
@@ -53,7 +53,7 @@
 
 
 def configuration(version: int, *routes: dict[str, Any]) -> dict[str, Any]:
-    """Return a whole configuration."""
+    """Return a complete configuration with these routes."""
     limits = {
         "max_header_bytes": 16_384,
         "max_body_bytes": 4_194_304,
@@ -74,7 +74,14 @@
 
 @dataclass(slots=True)
 class Answer:
-    """What a caller received."""
+    """An HTTP response as the caller received it.
+
+    Attributes:
+        status: HTTP status.
+        headers: Response headers, names in lower case.
+        body: The body, or the received part of it.
+        complete: Whether the body was received completely.
+    """
 
     status: int
     headers: dict[str, str]
@@ -84,7 +91,7 @@
 
 @dataclass(slots=True)
 class Entry:
-    """One running entry."""
+    """A running entry process."""
 
     name: str
     port: int
@@ -104,7 +111,7 @@
         request_id: str | None = None,
         timeout: float = 10.0,
     ) -> Answer:
-        """Make one call on a new connection."""
+        """Send one request on a new connection and return the response."""
         connection = http.client.HTTPConnection("127.0.0.1", self.port, timeout=timeout)
         sent = {"Host": HOST, "Request-Id": request_id or uuid.uuid4().hex}
         sent |= {"Deadline-Ms": "3000"} | (headers or {})
@@ -120,7 +127,7 @@
             connection.close()
 
     def is_ready(self) -> bool:
-        """Ask as the balancer does."""
+        """Return whether the entry answers the load balancer's readiness check."""
         connection = http.client.HTTPConnection("127.0.0.1", self.ready_port, timeout=1.0)
         try:
             connection.request("GET", "/api/ready")
@@ -135,13 +142,13 @@
         os.kill(self.process.pid, number)
 
     def logged(self, text: str) -> list[str]:
-        """Return the lines of the log that contain a text."""
+        """Return the log lines that contain ``text``."""
         return [line for line in self.log.read_text().splitlines() if text in line]
 
 
 @dataclass(slots=True)
 class Deployment:
-    """Stand-ins and the entries started against them."""
+    """The stand-ins of the platform, and the entries started against them."""
 
     objects: PlatformObjects
     store: str
@@ -154,7 +161,7 @@
     def server(
         self, service: str, behave: Behaviour, *, started: int | None = None
     ) -> PlatformServer:
-        """Start and register a server."""
+        """Start a server and register it in the store."""
         instance = f"i-{uuid.uuid4().hex[:8]}"
         server = self.stack.enter_context(serve_platform_server(instance, behave, started=started))
         self.servers.append(server)
@@ -162,12 +169,12 @@
         return server
 
     def restart(self, server: PlatformServer, service: str) -> None:
-        """Start a server again under its id, after a crash or a cut, and register it."""
+        """Restart a server under its id, after a crash or a loss of its link, and register it."""
         server.start()
         self.objects.put("servers", server.instance, server.registration(service))
 
     def second_address(self) -> tuple[str, PlatformFaults]:
-        """Serve the same store at another address with faults of its own."""
+        """Serve the same store at a second address, with separate fault settings."""
         faults = PlatformFaults()
         return self.stack.enter_context(serve_platform_store(self.objects, faults)), faults
 
@@ -181,13 +188,22 @@
         output: int | None = None,
         program: Sequence[str] = PROGRAM,
     ) -> Entry:
-        """Start an entry; its log goes to a file unless a descriptor is given for it."""
+        """Start an entry process.
+
+        Args:
+            name: The entry's name.
+            first_start: The setting of that name.
+            wait: Whether to wait until the entry is ready.
+            store: Address of the store, the deployment's own by default.
+            output: File descriptor for the log, which goes to a file by default.
+            program: Arguments of the Python interpreter.
+        """
         port, ready_port, peer_port, metrics_port = (self.ports.choose() for _ in range(4))
-        settings = self._settings(name, "direct-entry", peer_port, metrics_port)
+        settings = self._process_settings(name, "direct-entry", peer_port, metrics_port)
         settings |= {"callers": f"127.0.0.1:{port}", "ready": f"127.0.0.1:{ready_port}"}
         settings["first_start"] = first_start
         settings["object_api"] = store or self.store
-        process, log = self._run(settings, output, program)
+        process, log = self._start_process(settings, output, program)
         entry = Entry(name, port, ready_port, peer_port, metrics_port, process, log)
         self.entries.append(entry)
         if wait:
@@ -195,10 +211,14 @@
         return entry
 
     def keeper(self, name: str) -> None:
-        """Start a keeper."""
-        self._run(self._settings(name, "keeper", self.ports.choose(), self.ports.choose()))
+        """Start a keeper process without waiting for it."""
+        self._start_process(
+            self._process_settings(name, "keeper", self.ports.choose(), self.ports.choose())
+        )
 
-    def _settings(self, name: str, role: str, peer_port: int, metrics_port: int) -> dict[str, Any]:
+    def _process_settings(
+        self, name: str, role: str, peer_port: int, metrics_port: int
+    ) -> dict[str, Any]:
         return {
             "role": role,
             "node": name,
@@ -214,7 +234,7 @@
             "log_level": "info",
         }
 
-    def _run(
+    def _start_process(
         self,
         settings: dict[str, Any],
         output: int | None = None,
@@ -224,16 +244,16 @@
         path = self.folder / f"{stem}.json"
         path.write_text("// settings\n" + json.dumps(settings))
         log = self.folder / f"{stem}.log"
-        return self.stack.enter_context(_process(path, log, output, program)), log
+        return self.stack.enter_context(_run_process(path, log, output, program)), log
 
     def configure(self, version: int, *routes: dict[str, Any]) -> None:
-        """Write a configuration as the operator does."""
+        """Write a configuration to the store as an operator does."""
         self.objects.put("config", "main", configuration(version, *routes))
 
 
 @contextmanager
 def deployment(folder: Path, *routes: dict[str, Any]) -> Iterator[Deployment]:
-    """Serve a store with a configuration; everything started is ended."""
+    """Serve a store with a configuration; end all its processes and stand-ins on exit."""
     objects = PlatformObjects()
     objects.put("config", "main", configuration(1, *(routes or STANDARD_ROUTES)))
     with ExitStack() as stack:
@@ -243,18 +263,18 @@
 
 
 def eventually(check: Callable[[], object], within_s: float) -> Any:
-    """Wait for a check to hold and return what it gave."""
+    """Call ``check`` until its result is true, and return the result; fail after ``within_s``."""
     until = time.monotonic() + within_s
     while True:
         found = check()
         if found:
             return found
-        assert time.monotonic() < until, "did not happen in time"
+        assert time.monotonic() < until, "the condition did not become true in time"
         time.sleep(STEP_S)
 
 
 def submission(*item_ids: str, path: str = "/batch/1", tokens: int = 10) -> bytes:
-    """Return the body of a job."""
+    """Return the body of a request that submits a job with these items."""
     items = [
         {
             "id": item_id,
@@ -271,7 +291,7 @@
 def read_results(
     entry: Entry, job_id: str, after: int = 0, *, headers: dict[str, str] | None = None
 ) -> dict[str, Any] | int:
-    """Return a page of results, or the status of a refusal."""
+    """Return a page of a job's results, or the HTTP status of a refusal."""
     sent = {"Wait-Ms": "200"} | (headers or {})
     answer = entry.call("GET", f"/api/lots/{job_id}?after={after}", headers=sent)
     return json.loads(answer.body) if answer.status == 200 else answer.status
@@ -280,7 +300,7 @@
 def finished(
     entry: Entry, job_id: str, *, headers: dict[str, str] | None = None
 ) -> list[dict[str, Any]] | None:
-    """Return all results of a job once it is done."""
+    """Return all results of a job, or ``None`` until each item has one."""
     page = read_results(entry, job_id, headers=headers)
     if isinstance(page, int) or len(page["results"]) < page["total"]:
         return None
@@ -288,7 +308,7 @@
 
 
 @contextmanager
-def _process(
+def _run_process(
     settings: Path, log: Path, descriptor: int | None, program: Sequence[str]
 ) -> Iterator[subprocess.Popen[bytes]]:
     environment = {**os.environ, "CAROBSPOOL_SETTINGS": str(settings)}
