--- a/tests/history.py
+++ b/tests/history.py
@@ -1,7 +1,7 @@
-"""Histories of concurrent runs: what callers sent and were told, and one checker per promise.
+"""Histories of concurrent test runs: calls with their answers, and one checker for each promise.
 
-A checker takes the history and what the stand-ins recorded themselves, and returns the violations
-that it finds, in words.
+A checker compares the history with the records of the stand-ins, and returns descriptions of the
+violations that it finds.
 """
 
 from __future__ import annotations
@@ -27,18 +27,18 @@
     """One request as its caller saw it.
 
     Attributes:
-        digest: SHA-256 (hex) of the body, by which the engines' records name it.
-        entry: Entry that was asked.
+        digest: SHA-256 (hex) of the request body, which identifies it in the engines' records.
+        entry: Name of the entry that received the request.
         status: HTTP status, 0 when the connection broke.
-        outcome: The header that tells whether it ran; empty when there was no answer.
-        code: Code of the failure; empty after an answer.
-        body: Body of the answer.
-        clean: Whether the body ended as a whole answer does.
-        began: Seconds on the monotonic clock when it was sent.
-        first: Seconds from sending to the first bytes of the answer, or ``None``.
-        took: Seconds until its end.
-        retry_after: Header ``Retry-After``; empty when there was none.
-        key: Idempotency key, if any.
+        outcome: Response header that says whether the request ran; empty without a response.
+        code: Error code of a failure; empty otherwise.
+        body: Response body.
+        clean: Whether the response was successful and complete.
+        began: When the request was sent, in seconds on the monotonic clock.
+        first: Seconds from sending to the first bytes of the response, or ``None``.
+        took: Seconds from sending to the end of the response.
+        retry_after: Response header ``Retry-After``; empty when absent.
+        key: Idempotency key of the request; empty when absent.
     """
 
     digest: str
@@ -56,7 +56,7 @@
 
     @property
     def text(self) -> str:
-        """The answer's text, of a stream or of a whole body."""
+        """The generated text, from a stream or a single JSON body."""
         if self.body.startswith(b"data:"):
             return stream_text(self.body)
         return str(json.loads(self.body)["choices"][0]["message"]["content"])
@@ -64,7 +64,7 @@
 
 @dataclass(slots=True)
 class History:
-    """Calls in the order of their ends; safe for several threads."""
+    """Calls in the order in which they ended; thread-safe."""
 
     calls: list[Call] = field(default_factory=list)
     _lock: threading.Lock = field(default_factory=threading.Lock)
@@ -80,7 +80,7 @@
         headers: Mapping[str, str] | None = None,
         timeout_ms: int = 60_000,
     ) -> Call:
-        """Send a chat completion and record what came of it."""
+        """Send a chat completion, and record and return the call."""
         body = json.dumps(chat_body(text, stream=stream, tokens=tokens)).encode()
         client = site.caller(entry, timeout_ms=timeout_ms)
         return self.send(
@@ -104,38 +104,38 @@
         stream: bool = False,
         headers: Mapping[str, str] | None = None,
     ) -> Call:
-        """Send any request and record what came of it."""
+        """Send a request, and record and return the call."""
         began = time.monotonic()
         first: list[float] = []
-        pieces: list[bytes] = []
+        chunks: list[bytes] = []
 
         def on_data(data: bytes) -> None:
             if not first:
                 first.append(time.monotonic() - began)
-            pieces.append(data)
+            chunks.append(data)
 
         status = NO_ANSWER
-        answered: Mapping[str, str] = {}
+        response_headers: Mapping[str, str] = {}
         try:
             reply = client.call(method, path, body=body, headers=headers, on_data=on_data)
             status = reply.status
-            answered = reply.headers
-            whole = True
+            response_headers = reply.headers
+            is_complete = True
         except NoAnswer:
-            whole = False
-        content = b"".join(pieces)
+            is_complete = False
+        content = b"".join(chunks)
         call = Call(
             digest=hashlib.sha256(body).hexdigest(),
             entry=entry,
             status=status,
-            outcome=answered.get("carobspool-outcome", ""),
-            code=_code(status, content),
+            outcome=response_headers.get("carobspool-outcome", ""),
+            code=_error_code(status, content),
             body=content,
-            clean=whole and status == 200 and (not stream or ended_clean(content)),
+            clean=is_complete and status == 200 and (not stream or ended_clean(content)),
             began=began,
             first=first[0] if first else None,
             took=time.monotonic() - began,
-            retry_after=answered.get("retry-after", ""),
+            retry_after=response_headers.get("retry-after", ""),
             key=(headers or {}).get("Idempotency-Key", ""),
         )
         with self._lock:
@@ -144,24 +144,24 @@
 
 
 def untrue_not_run(calls: Iterable[Call], runs: Iterable[Mapping[str, Any]]) -> list[str]:
-    """Return the requests that ran although each call of them was told "not run".
+    """Return the requests that ran although every call of them was answered "not run".
 
-    A request may be sent several times; one call that was not told so may stand for the runs, and
-    how many those may be is another promise.
+    A request may be sent several times. If any call of it was answered otherwise, that call may
+    account for all its runs; another checker limits the number of runs.
     """
     may_have_run: Counter[str] = Counter()
     for call in calls:
         may_have_run[call.digest] += call.outcome != "not_run"
     ran = Counter(run["digest"] for run in runs if run["digest"] in may_have_run)
     return [
-        f"{digest[:8]} ran {count} times and was always told not_run"
+        f"{digest[:8]} ran {count} times although every call was answered not_run"
         for digest, count in ran.items()
         if may_have_run[digest] == 0
     ]
 
 
 def untyped(calls: Iterable[Call]) -> list[str]:
-    """Return the failures without type: no outcome, or a refusal without when to come back."""
+    """Return the failures without an outcome, and the refusals without ``Retry-After``."""
     found = []
     for call in calls:
         if call.status in (NO_ANSWER, 200):
@@ -181,18 +181,18 @@
 
 
 def wrong_answers(calls: Iterable[Call], expected: Mapping[str, str]) -> list[str]:
-    """Return the answers that ended clean and are not their own request's whole answer.
+    """Return the complete answers whose text is not the expected one of their request.
 
     Args:
         calls: The history.
-        expected: The right text by digest.
+        expected: The correct text by digest.
     """
     found = []
     for call in calls:
         if not call.clean:
             continue
         if call.text != expected[call.digest]:
-            found.append(f"{call.digest[:8]} ended clean with another text")
+            found.append(f"{call.digest[:8]} ended cleanly with a wrong text")
     return found
 
 
@@ -207,7 +207,7 @@
     return found
 
 
-def _code(status: int, content: bytes) -> str:
+def _error_code(status: int, content: bytes) -> str:
     if status in (NO_ANSWER, 200):
         return ""
     try:
--- a/tests/measure_restarts.py
+++ b/tests/measure_restarts.py
@@ -1,11 +1,12 @@
-"""Measures how long a server that starts again under its id goes unused, and what runs are lost.
+"""Measures how long a server restarted under its id receives no request, and which runs are lost.
 
     python tests/measure_restarts.py [RESTARTS]
 
-Two servers, two entries, ten requests a second at each entry that may run once, and a stream that
-may be resumed every 0.4 s at each. One server is restarted after the other, crashed and cut off in
-turn. Printed: time from a restart until the new start has read a request (p50 and worst), answers
-that were not 200, streams that ended early, and the longest a caller waited.
+Two servers of each service and two entries run. Each entry receives ten requests a second that may
+run only once, and every 0.4 s a stream that may be resumed. The servers are restarted in turn,
+alternately after a crash and after the loss of their link. The output shows the time from a restart
+until the restarted server has received a request (p50 and worst), the number of answers by status,
+the streams that ended early ("cut"), and the longest time that a caller waited.
 """
 
 from __future__ import annotations
@@ -32,37 +33,37 @@
 STREAM_EVENTS = 30
 EVENT_PAUSE_S = 0.03
 DOWN_S = 0.15
-"""Shorter than a heartbeat: the registration of the earlier start still stands."""
-BETWEEN_S = 2.5
-"""Longer than the memory for failures, so that each restart is met alone."""
-UNUSED_S = 10.0
+"""Shorter than a heartbeat interval: the registration of the earlier start is still valid."""
+RESTART_INTERVAL_S = 2.5
+"""Longer than entries remember failures, so that restarts do not influence each other."""
+MAX_UNUSED_S = 10.0
 
 
 class _Load:
-    """Callers at the entries, and what they received."""
+    """Callers that send requests to the entries, and the outcomes they received."""
 
     def __init__(self) -> None:
         self.outcomes: Counter[str] = Counter()
         self.longest_s = 0.0
         self._lock = threading.Lock()
-        self._over = threading.Event()
-        self._tasks: list[threading.Thread] = []
+        self._stopped = threading.Event()
+        self._threads: list[threading.Thread] = []
 
     def start(self, entry: Entry, target: str, every_s: float) -> None:
-        self._spawn(lambda: self._go_on(entry, target, every_s))
+        self._spawn(lambda: self._send_repeatedly(entry, target, every_s))
 
     def stop(self) -> None:
-        self._over.set()
-        for task in list(self._tasks):
-            task.join()
+        self._stopped.set()
+        for thread in list(self._threads):
+            thread.join()
 
     def _spawn(self, work: Callable[[], None]) -> None:
-        task = threading.Thread(target=work)
-        self._tasks.append(task)
-        task.start()
+        thread = threading.Thread(target=work)
+        self._threads.append(thread)
+        thread.start()
 
-    def _go_on(self, entry: Entry, target: str, every_s: float) -> None:
-        while not self._over.wait(every_s):
+    def _send_repeatedly(self, entry: Entry, target: str, every_s: float) -> None:
+        while not self._stopped.wait(every_s):
             self._spawn(lambda: self._call(entry, target))
 
     def _call(self, entry: Entry, target: str) -> None:
@@ -76,12 +77,14 @@
             self.longest_s = max(self.longest_s, took)
 
 
-def _run_once(request: ServedRequest, connection: ServerConnection) -> None:
+def _answer_after_run(request: ServedRequest, connection: ServerConnection) -> None:
     time.sleep(RUN_S)
     connection.answer(request)
 
 
-def _until_used(system: Deployment, server: PlatformServer, service: str, crash: bool) -> float:
+def _time_until_used(
+    system: Deployment, server: PlatformServer, service: str, crash: bool
+) -> float:
     if crash:
         server.crash()
     else:
@@ -89,7 +92,7 @@
     time.sleep(DOWN_S)
     system.restart(server, service)
     restarted = time.monotonic()
-    while time.monotonic() - restarted < UNUSED_S:
+    while time.monotonic() - restarted < MAX_UNUSED_S:
         if any(each.started == server.started for each in list(server.seen)):
             break
         time.sleep(0.005)
@@ -97,9 +100,9 @@
 
 
 def main(restarts: int) -> None:
-    """Play the restarts and print the figures."""
+    """Restart servers under load, and print the measurements."""
     with tempfile.TemporaryDirectory() as folder, deployment(Path(folder)) as system:
-        plain = [system.server("plain", _run_once) for _ in range(2)]
+        plain = [system.server("plain", _answer_after_run) for _ in range(2)]
         stream = stream_events(STREAM_EVENTS, pause_s=EVENT_PAUSE_S)
         engines = [system.server("engine", stream) for _ in range(2)]
         load = _Load()
@@ -113,9 +116,9 @@
             servers, service = ((plain, "plain"), (engines, "engine"))[number // 2 % 2]
             server = servers[number // 4 % 2]
             crash = number % 2 == 0
-            took = _until_used(system, server, service, crash)
+            took = _time_until_used(system, server, service, crash)
             times["crashed" if crash else "cut off"].append(took)
-            time.sleep(BETWEEN_S)
+            time.sleep(RESTART_INTERVAL_S)
         load.stop()
     for how, found in times.items():
         print(
