--- a/tests/disturbances.py
+++ b/tests/disturbances.py
@@ -1,4 +1,7 @@
-"""Which entry was disturbed when, so that a promise is asked of those alone that ran in peace."""
+"""Records when each entry was disturbed by a fault.
+
+Some promises are checked only for entries that ran undisturbed.
+"""
 
 from __future__ import annotations
 
@@ -8,51 +11,59 @@
 from contextlib import contextmanager
 from dataclasses import dataclass
 
-ALL = ""
-"""Stands for every entry: the store or a server's link is disturbed."""
+ALL_ENTRIES = ""
+"""Used in place of an entry's name when the store or a server's link is disturbed."""
 
 
 @dataclass(slots=True)
 class _Disturbance:
     entry: str
     planned: bool
-    began: float
-    ended: float = float("inf")
+    started_at: float
+    ended_at: float = float("inf")
 
 
 class Disturbances:
-    """What was done to the entries; safe for threads."""
+    """Thread-safe record of the disturbances of all entries."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        self._all: list[_Disturbance] = []
+        self._disturbances: list[_Disturbance] = []
 
     @contextmanager
-    def of(self, entry: str = ALL, *, planned: bool = False) -> Iterator[None]:
-        """Note that an entry is disturbed while the block runs."""
+    def record(self, entry: str = ALL_ENTRIES, *, planned: bool = False) -> Iterator[None]:
+        """Record that an entry is disturbed while the block runs.
+
+        Args:
+            entry: The entry's name, by default all entries.
+            planned: Whether the disturbance is an operator's action, such as asking an entry to
+                stop.
+        """
         disturbance = _Disturbance(entry, planned, time.monotonic())
         with self._lock:
-            self._all.append(disturbance)
+            self._disturbances.append(disturbance)
         try:
             yield
         finally:
-            disturbance.ended = time.monotonic()
+            disturbance.ended_at = time.monotonic()
 
-    def any(self, entry: str | None, since: float, until: float, *, planned: bool = True) -> bool:
-        """Return whether an entry was disturbed at some time of a span.
+    def was_disturbed(
+        self, entry: str | None, since: float, until: float, *, planned: bool = True
+    ) -> bool:
+        """Return whether an entry was disturbed at any time in an interval.
 
         Args:
-            entry: Its name, ``None`` for any of them.
-            since: Begin of the span.
-            until: Its end.
-            planned: Whether to count what an operator does, such as to ask an entry to stop.
+            entry: The entry's name, ``None`` for any entry.
+            since: Begin of the interval, on the monotonic clock.
+            until: End of the interval.
+            planned: Whether operators' actions count as disturbances.
         """
         with self._lock:
-            for each in self._all:
+            for each in self._disturbances:
                 if each.planned and not planned:
                     continue
-                if entry is not None and each.entry not in (entry, ALL):
+                if entry is not None and each.entry not in (entry, ALL_ENTRIES):
                     continue
-                if each.began <= until and each.ended >= since:
+                if each.started_at <= until and each.ended_at >= since:
                     return True
         return False
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -1,9 +1,10 @@
-"""A randomized soak of real entry processes: faults from outside, promises checked from outside.
+"""Randomized soak test of real entry processes, with faults and checks from outside the processes.
 
-One seed fixes the schedules of faults and what callers do; the machine's timing stays free. Faults
-of processes, of links, of the store and of servers come in four series that overlap. Callers keep
-using open connections until the process behind them is gone. What servers have run and what callers
-were told is recorded, and every promise is judged from these two alone.
+A seed determines the schedules of faults and the actions of callers; the timing of the machine
+remains random. Faults of processes, of links, of the store and of servers occur in four series that
+overlap. Callers keep using open connections until the process at the other end has gone. The test
+records which requests servers ran and how callers were answered, and checks every promise against
+this record alone.
 
 By hand: ``python tests/soak/soak.py --seeds 50 [--first N] [--seconds S]``.
 """
@@ -41,7 +42,7 @@
     route,
     submission,
 )
-from disturbances import ALL, Disturbances
+from disturbances import ALL_ENTRIES, Disturbances
 from soak_judge import EVENTS, NOT_DONE, Judge, Record
 
 from carobspool_standins._faults import FaultBoard
@@ -55,18 +56,18 @@
 )
 
 CALM_S = 14.0
-"""Time without faults at the end, in which every accepted job has to finish: a takeover takes some
+"""Time without faults at the end, in which every accepted job has to finish: a takeover takes about
 five seconds and the items of a job two."""
 PROCESS_S = 8.0
-"""Time after the other faults with faults of processes alone, which an entry beside them must not
-show."""
+"""Time after the other faults in which only faults of processes occur. They must not affect the
+other entries."""
 END_TRIES_S = 10.0
-HELD = "held-"
-"""Items with this prefix are turned away each time, so that their jobs go on until they end."""
+HELD_PREFIX = "held-"
+"""Servers reject every run of an item with this prefix, so that its job lasts until it is ended."""
 SILENT_CONNECTIONS = 130
-"""More than an entry serves at once for the calls of other entries."""
+"""More connections than an entry serves at once for the calls of other entries."""
 STOP_LIMIT_S = 8.0
-"""Longest time from a request to stop to the end of a process, two seconds past its own limit."""
+"""Longest time from a stop request to the end of a process, two seconds more than its own limit."""
 SETTLE_S = 1.2
 MAX_ENTRIES = 3
 SERVICES = ("plain", "plain", "engine", "engine", "engine")
@@ -75,7 +76,7 @@
 
 
 class Soak:
-    """One seeded run."""
+    """One run of the soak test with a given seed."""
 
     def __init__(self, system: Deployment, seed: int, seconds: float) -> None:
         self._system = system
@@ -88,74 +89,74 @@
         self._stopped = threading.Event()
         self._faulty = threading.Event()
         self._disturbances = Disturbances()
-        self._processes = {f"e{number}": threading.Lock() for number in range(MAX_ENTRIES)}
+        self._process_locks = {f"e{number}": threading.Lock() for number in range(MAX_ENTRIES)}
         self._judge = Judge(self._record, self._disturbances, system.entries, self._headers)
-        self._troubled = threading.Event()
-        self._troubles: list[threading.Thread] = []
+        self._owner_faults_allowed = threading.Event()
+        self._owner_fault_threads: list[threading.Thread] = []
         self._version = 1
 
     def run(self) -> Record:
-        """Play the faults under load, then a calm, then judge."""
-        self._declare()
+        """Inject faults under load, then run without faults, then check the promises."""
+        self._write_configuration()
         for number, service in enumerate(SERVICES):
-            self._serve(service, self._behave(number))
+            self._start_server(service, self._behave(number))
         for number in range(MAX_ENTRIES):
-            self._start(f"e{number}", first_start=True)
+            self._start_entry(f"e{number}", first_start=True)
         time.sleep(2.6)
         callers = [
-            threading.Thread(target=self._until_stopped, args=(task, random.Random(number)))
+            threading.Thread(target=self._repeat_until_stopped, args=(task, random.Random(number)))
             for number, task in enumerate(self._tasks())
         ]
         for caller in callers:
             caller.start()
         self._faulty.set()
-        self._troubled.set()
+        self._owner_faults_allowed.set()
         self._play_faults()
         self._faulty.clear()
         self._heal()
         self._play_series(self._process_faults, random.Random(f"{self._seed}/p"), PROCESS_S)
         with self._record.lock:
-            self._troubled.clear()
-        for trouble in self._troubles:
-            trouble.join()
+            self._owner_faults_allowed.clear()
+        for thread in self._owner_fault_threads:
+            thread.join()
         self._heal()
         time.sleep(CALM_S)
         self._stopped.set()
         for caller in callers:
             caller.join()
-        self._judge.jobs(list(self._entries.values()))
-        self._judge.ends()
+        self._judge.check_jobs(list(self._entries.values()))
+        self._judge.check_ends()
         return self._record
 
     def _tasks(self) -> list[Callable[[random.Random], None]]:
-        """Return what callers do side by side."""
+        """Return the actions that callers repeat concurrently."""
         tasks = [self._call_online, self._call_online, self._submit_jobs, self._read_jobs]
         return [*tasks, self._end_held_job, self._end_held_job]
 
     def _headers(self, name: str) -> dict[str, str]:
-        """Return what a caller sends beside the id of its request or job."""
+        """Return the headers that a caller sends with a request or job of this id."""
         return {}
 
-    def _saw(self, request: ServedRequest) -> None:
-        """Judge a request as a server sees it."""
+    def _check_request(self, request: ServedRequest) -> None:
+        """Check a request as a server receives it."""
 
-    def _began(self, request: ServedRequest) -> None:
-        """Note that a server runs a request."""
+    def _record_run(self, request: ServedRequest) -> None:
+        """Record that a server runs a request."""
 
-    def _declare(self, *routes: dict[str, Any]) -> None:
-        """Write the next configuration."""
+    def _write_configuration(self, *routes: dict[str, Any]) -> None:
+        """Write the next version of the configuration to the store."""
         self._version += 1
         self._system.configure(self._version, *STANDARD_ROUTES, *routes)
 
-    def _serve(self, service: str, behave: Behaviour) -> None:
-        """Start a server that is reached through a relay."""
+    def _start_server(self, service: str, behave: Behaviour) -> None:
+        """Start a server that entries reach through a relay."""
         server = self._system.server(service, behave)
         host, port = server.address
-        server.address = _split(self._relay(server.instance, (host, port)))
+        server.address = _parse_address(self._start_relay(server.instance, (host, port)))
         self._system.objects.put("servers", server.instance, server.registration(service))
 
-    def _relay(self, name: str, target: tuple[str, int]) -> str:
-        """Return the address of a relay in front of a target."""
+    def _start_relay(self, name: str, target: tuple[str, int]) -> str:
+        """Start a relay in front of a target and return its address."""
         listener = socket.create_server(("127.0.0.1", 0))
         board = FaultBoard(RelayFaults)
         relay = Relay(listener, target, lambda: board.current.delay_ms or 0.0, board)
@@ -163,9 +164,9 @@
         self._relays[name] = board
         return f"127.0.0.1:{listener.getsockname()[1]}"
 
-    def _start(self, name: str, *, first_start: bool) -> None:
+    def _start_entry(self, name: str, *, first_start: bool) -> None:
         if name not in self._addresses:
-            self._addresses[name] = self._relay(name, _split(self._system.store))
+            self._addresses[name] = self._start_relay(name, _parse_address(self._system.store))
         self._entries[name] = self._system.entry(
             name, first_start=first_start, wait=False, store=self._addresses[name]
         )
@@ -174,19 +175,19 @@
         draw = random.Random(number)
 
         def behave(request: ServedRequest, connection: ServerConnection) -> None:
-            self._record.arrived(request.request_id)
-            self._saw(request)
-            if request.request_id.startswith(HELD):
+            self._record.add_arrival(request.request_id)
+            self._check_request(request)
+            if request.request_id.startswith(HELD_PREFIX):
                 connection.not_run(request)
                 return
             faulty = self._faulty.is_set() and draw.random() < 0.08
             if faulty:
-                self._record.spoiled.add(request.request_id)
+                self._record.faulty_requests.add(request.request_id)
             if faulty and draw.random() < 0.4:
                 connection.not_run(request)
                 return
-            self._record.ran(request.request_id)
-            self._began(request)
+            self._record.add_run(request.request_id)
+            self._record_run(request)
             if request.target.startswith(("/stream/", "/resume/", "/batch/")):
                 _stream(request, connection, cut=draw.randrange(EVENTS) if faulty else None)
                 return
@@ -206,7 +207,9 @@
 
         return behave
 
-    def _until_stopped(self, task: Callable[[random.Random], None], draw: random.Random) -> None:
+    def _repeat_until_stopped(
+        self, task: Callable[[random.Random], None], draw: random.Random
+    ) -> None:
         while not self._stopped.is_set():
             try:
                 task(draw)
@@ -214,7 +217,7 @@
                 time.sleep(0.05)
 
     def _call_online(self, draw: random.Random) -> None:
-        """Use one connection until it ends, as callers do."""
+        """Send several requests on one connection, until it closes."""
         entry = draw.choice(list(self._entries.values()))
         connection = http.client.HTTPConnection("127.0.0.1", entry.port, timeout=5.0)
         try:
@@ -232,11 +235,11 @@
                 except http.client.IncompleteRead as error:
                     answer = Answer(response.status, {}, error.partial, complete=False)
                 except (OSError, http.client.HTTPException):
-                    self._judge.broken(entry, kind, request_id, sent)
+                    self._judge.check_broken(entry, kind, request_id, sent)
                     raise
                 if not answer.complete:
-                    self._judge.broken(entry, kind, request_id, sent)
-                self._judge.online(kind, request_id, target, answer)
+                    self._judge.check_broken(entry, kind, request_id, sent)
+                self._judge.check_online(kind, request_id, target, answer)
                 if not answer.complete or response.will_close:
                     return
         finally:
@@ -271,10 +274,10 @@
             elif set(statuses) <= NOT_DONE:
                 self._record.refused[job_id] = items
         if 202 in statuses and draw.random() < 0.15:
-            self._end(job_id, draw)
+            self._end_job(job_id, draw)
         time.sleep(0.4 + draw.random() * 0.4)
 
-    def _end(self, job_id: str, draw: random.Random) -> None:
+    def _end_job(self, job_id: str, draw: random.Random) -> None:
         time.sleep(draw.random())
         entry = draw.choice(list(self._entries.values()))
         status = 0
@@ -288,23 +291,23 @@
                     self._record.ends_in_doubt.add(job_id)
 
     def _end_held_job(self, draw: random.Random) -> None:
-        """End a job that cannot finish, often while something is the matter with its owner."""
-        job_id = HELD + uuid.uuid4().hex[:16]
+        """End a job that cannot finish, often while a fault disturbs the entry that owns it."""
+        job_id = HELD_PREFIX + uuid.uuid4().hex[:16]
         items = [f"{job_id}-{number}" for number in range(2)]
         owner = draw.choice(sorted(self._entries))
         body = submission(*items, path="/batch/x")
         entry = self._entries[owner]
         if self._call_job(entry, "POST", "/batch/x", job_id, body).status != 202:
-            # It may have been accepted all the same, so it has to end.
+            # The job may have been accepted nevertheless, so it has to be ended.
             owner = ""
         time.sleep(draw.random() * 2.5)
-        trouble = draw.choice((None, self._freeze_one, self._terminate_one, self._block_one))
-        if trouble is not None and owner:
-            self._make_trouble(trouble, owner, draw)
+        fault = draw.choice((None, self._freeze_one, self._terminate_one, self._block_one))
+        if fault is not None and owner:
+            self._start_owner_fault(fault, owner, draw)
         until = time.monotonic() + END_TRIES_S
         while time.monotonic() < until:
-            troubled = owner if trouble is not None else ""
-            name = draw.choice([each for each in sorted(self._entries) if each != troubled])
+            disturbed = owner if fault is not None else ""
+            name = draw.choice([each for each in sorted(self._entries) if each != disturbed])
             try:
                 target = f"/api/lots/{job_id}"
                 status = self._call_job(self._entries[name], "DELETE", target, job_id).status
@@ -312,24 +315,24 @@
                 status = 0
             if status == 200:
                 with self._record.lock:
-                    self._record.held[job_id] = items
+                    self._record.ended_held[job_id] = items
                     self._record.ended[job_id] = time.monotonic()
                 return
             if status == 404 and not owner:
                 return
             time.sleep(0.1)
 
-    def _make_trouble(
-        self, trouble: Callable[[str, float], None], owner: str, draw: random.Random
+    def _start_owner_fault(
+        self, fault: Callable[[str, float], None], owner: str, draw: random.Random
     ) -> None:
-        """Begin a fault of an owner shortly before its job is ended through another entry."""
+        """Start a fault of the owner shortly before its job is ended through another entry."""
         share = draw.random()
         with self._record.lock:
-            if not self._troubled.is_set():
+            if not self._owner_faults_allowed.is_set():
                 return
-            thread = threading.Thread(target=trouble, args=(owner, share))
+            thread = threading.Thread(target=fault, args=(owner, share))
             thread.start()
-            self._troubles.append(thread)
+            self._owner_fault_threads.append(thread)
         time.sleep(draw.random())
 
     def _read_jobs(self, draw: random.Random) -> None:
@@ -342,18 +345,18 @@
         entry = draw.choice(list(self._entries.values()))
         page = read_results(entry, job_id, headers=self._headers(job_id))
         if page == 404:
-            self._record.violated(f"job {job_id}: unknown after its acceptance")
+            self._record.add_violation(f"job {job_id}: unknown after its acceptance")
         if not isinstance(page, int):
             found = [(each["id"], each["text"]) for each in page["results"]]
-            self._judge.positions(job_id, found)
+            self._judge.check_positions(job_id, found)
         time.sleep(0.05)
 
     def _play_faults(self) -> None:
-        """Play four series of faults beside each other."""
+        """Inject four series of faults concurrently."""
         series = (
             (*self._process_faults, self._kill_all),
             (self._cut_link, self._disturb_link, self._replace_server, self._reconfigure),
-            (self._refuse_all, self._lose_answers, self._deafen),
+            (self._refuse_store_calls, self._lose_store_answers, self._suspend_watches),
             (self._crash_server, self._cut_off_server),
         )
         players = [
@@ -377,32 +380,32 @@
             draw.choice(faults)(draw)
             time.sleep(draw.random() * 1.5)
 
-    def _one(self, draw: random.Random) -> str:
+    def _draw_entry(self, draw: random.Random) -> str:
         return draw.choice(sorted(self._entries))
 
     def _kill(self, draw: random.Random) -> None:
-        name = self._one(draw)
-        with self._processes[name], self._disturbances.of(name):
+        name = self._draw_entry(draw)
+        with self._process_locks[name], self._disturbances.record(name):
             self._entries[name].signal(signal.SIGKILL)
             self._restart(name, draw.random())
 
     def _kill_all(self, draw: random.Random) -> None:
         with ExitStack() as held:
             for name in sorted(self._entries):
-                held.enter_context(self._processes[name])
-                held.enter_context(self._disturbances.of(name))
+                held.enter_context(self._process_locks[name])
+                held.enter_context(self._disturbances.record(name))
             for entry in self._entries.values():
                 entry.signal(signal.SIGKILL)
             for name in sorted(self._entries):
                 self._restart(name, draw.random())
 
     def _terminate(self, draw: random.Random) -> None:
-        self._terminate_one(self._one(draw), draw.random())
+        self._terminate_one(self._draw_entry(draw), draw.random())
 
     def _terminate_one(self, name: str, pause: float) -> None:
-        with self._processes[name], self._disturbances.of(name, planned=True):
+        with self._process_locks[name], self._disturbances.record(name, planned=True):
             entry = self._entries[name]
-            self._judge.asked[entry.peer_port] = time.monotonic()
+            self._judge.stop_requested_at[entry.peer_port] = time.monotonic()
             entry.signal(signal.SIGTERM)
             self._restart(name, pause)
 
@@ -412,27 +415,30 @@
             process.wait(timeout=STOP_LIMIT_S)
         except subprocess.TimeoutExpired:
             log = self._entries[name].log.name
-            self._record.violated(f"{name} has not stopped, its log is {log}")
+            self._record.add_violation(f"{name} did not stop in time, its log is {log}")
             process.kill()
             process.wait()
         time.sleep(pause)
-        self._start(name, first_start=False)
+        self._start_entry(name, first_start=False)
 
     def _freeze(self, draw: random.Random) -> None:
-        self._freeze_one(self._one(draw), draw.random())
+        self._freeze_one(self._draw_entry(draw), draw.random())
 
     def _freeze_one(self, name: str, share: float) -> None:
-        with self._processes[name], self._disturbances.of(name):
+        with self._process_locks[name], self._disturbances.record(name):
             entry = self._entries[name]
             entry.signal(signal.SIGSTOP)
             time.sleep(0.3 + share * 4.0)
             entry.signal(signal.SIGCONT)
 
     def _block_calls(self, draw: random.Random) -> None:
-        self._block_one(self._one(draw), draw.random())
+        self._block_one(self._draw_entry(draw), draw.random())
 
     def _block_one(self, name: str, share: float) -> None:
-        """Take all places for calls of other entries, which is nothing that its callers feel."""
+        """Occupy all connections that an entry serves for other entries.
+
+        Callers must not notice this, so it is not recorded as a disturbance.
+        """
         address = ("127.0.0.1", self._entries[name].peer_port)
         with ExitStack() as silent, contextlib.suppress(OSError):
             for _ in range(SILENT_CONNECTIONS):
@@ -447,34 +453,34 @@
         self._fault_link(draw, draw.choice(faults))
 
     def _fault_link(self, draw: random.Random, fault: dict[str, object]) -> None:
-        """Disturb the link of an entry to the store, or of all entries to one server."""
-        name = draw.choice(sorted(self._relays, key=self._place))
+        """Disturb the link of one entry to the store, or the link of all entries to one server."""
+        name = draw.choice(sorted(self._relays, key=self._relay_index))
         board = self._relays[name]
-        with self._disturbances.of(name if name in self._entries else ALL):
+        with self._disturbances.record(name if name in self._entries else ALL_ENTRIES):
             board.merge(fault)
             time.sleep(draw.random() * 3.0)
             board.reset()
 
-    def _place(self, relay: str) -> int:
+    def _relay_index(self, relay: str) -> int:
         return list(self._relays).index(relay)
 
     def _reconfigure(self, draw: random.Random) -> None:
         changed = route("/extra/", "safe", "plain", timeout_ms=draw.randrange(1_000, 3_000))
-        self._declare(changed)
+        self._write_configuration(changed)
 
-    def _refuse_all(self, draw: random.Random) -> None:
+    def _refuse_store_calls(self, draw: random.Random) -> None:
         faults = self._system.objects.faults
-        with self._disturbances.of():
+        with self._disturbances.record():
             faults.status = draw.choice((503, 429))
             time.sleep(draw.random() * 3.0)
             faults.status = 0
 
-    def _lose_answers(self, draw: random.Random) -> None:
-        with self._disturbances.of():
+    def _lose_store_answers(self, draw: random.Random) -> None:
+        with self._disturbances.record():
             self._system.objects.faults.lose_answers = draw.randrange(1, 4)
 
-    def _deafen(self, draw: random.Random) -> None:
-        with self._disturbances.of():
+    def _suspend_watches(self, draw: random.Random) -> None:
+        with self._disturbances.record():
             self._system.objects.faults.deaf = True
             time.sleep(0.5 + draw.random())
             self._system.objects.compact()
@@ -505,7 +511,7 @@
             server.deliver_late()
 
     def _restart_server(self, server: PlatformServer, draw: random.Random) -> None:
-        """Start a server again under its id, often before its registration would lapse."""
+        """Restart a server under its id, often before its registration expires."""
         time.sleep(draw.random() * 1.5)
         service = SERVICES[self._system.servers.index(server)]
         self._system.restart(server, service)
@@ -518,12 +524,12 @@
 
 
 def play(seed: int, seconds: float, folder: Path) -> Record:
-    """Play one seed and return what was seen."""
+    """Run the soak test with one seed and return its record."""
     with deployment(folder) as system:
         return Soak(system, seed, seconds).run()
 
 
-def _split(address: str) -> tuple[str, int]:
+def _parse_address(address: str) -> tuple[str, int]:
     host, _, port = address.rpartition(":")
     return host, int(port)
 
@@ -542,7 +548,7 @@
 
 
 def run_seeds(play_one: Callable[[int, float, Path], Record], description: str | None) -> int:
-    """Play seeds one after the other; the exit code tells whether any promise was broken."""
+    """Run the seeds one after another; return exit code 1 if any promise was broken."""
     parser = argparse.ArgumentParser(description=description)
     parser.add_argument("--seeds", type=int, default=50)
     parser.add_argument("--first", type=int, default=int(time.time()) % 1_000_000)
@@ -554,7 +560,7 @@
         record = play_one(seed, options.seconds, folder)
         found = {"seed": seed, "violations": record.violations, "calls": dict(record.calls)}
         found["jobs"] = [len(record.accepted), len(record.refused), len(record.ended)]
-        found["held"] = len(record.held)
+        found["held"] = len(record.ended_held)
         print(json.dumps(found), f"logs={folder}" if record.violations else "", flush=True)
         broken += bool(record.violations)
     print(f"{options.seeds - broken} seeds kept every promise, {broken} did not")
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -1,4 +1,4 @@
-"""A short seeded part of the soak, and every seed that ever showed a fault."""
+"""Short seeded runs of the soak test, including every seed that has ever shown a fault."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
     [
         1,
         2,
-        910002,  # an entry served on after SIGTERM; the lock of its handler fits, see test_signals
-        920019,  # the end of a job was told as not done (503) and came into force later
+        910002,  # an entry served on after SIGTERM; its handler may await a lock: test_signals
+        920019,  # the end of a job was refused as not done (503) but took effect later
     ],
 )
 def test_promises_hold_under_a_random_schedule_of_faults(seed: int, tmp_path: Path) -> None:
-    """Entries are killed, stopped, frozen and restarted, the store refuses, loses answers and goes
-    deaf, servers break off, come and go and start again under their id, all at times drawn from the
-    seed."""
+    """Entries are killed, stopped, paused and restarted. The store refuses calls, loses answers and
+    suspends watches. Servers break off responses, leave, join and restart under their id. The seed
+    determines the times."""
     record = play(seed, SECONDS, tmp_path)
     assert record.violations == []
     assert record.accepted
@@ -31,8 +31,8 @@
 
 
 def test_keys_and_limits_hold_under_a_random_schedule_of_faults(tmp_path: Path) -> None:
-    """Each caller shows a key; one organisation sends many times what it may, at every entry, and
-    keys are taken away, while entries are killed, stopped, frozen and restarted."""
+    """Each caller presents a key. One organisation sends many times its limit, to every entry, and
+    keys are removed, while entries are killed, stopped, paused and restarted."""
     record = organisations.play(1, SECONDS, tmp_path)
     assert record.violations == []
     assert record.accepted
