--- a/packages/core/src/carobspool_core/organisations/_request_limits.py
+++ b/packages/core/src/carobspool_core/organisations/_request_limits.py
@@ -45,15 +45,15 @@
 """Fraction of the bucket capacity below which an organisation is hot: it may reach its limit
 within moments."""
 MIN_HOT_BURST = 8.0
-"""Burst below which an organisation is never hot. A partition lets only a few of its requests
+"""Burst below which an organisation is never hot. A partition lets only a few extra requests of it
 through, and hundreds of small organisations would make all entries send hints all the time."""
 HOT_TIME: Millis = 1_000.0
 """How long an organisation counts as hot after its level was low."""
 HOT_HINT_INTERVAL: Millis = 80.0
 """Shortest time between two hints of each entry while an organisation is hot."""
 HOT_HINT_INTERVAL_PER_ENTRY: Millis = 3.5
-"""Time between two such hints for each entry in the deployment, if that is longer. It bounds the
-cost of hints for each entry of a deployment with hundreds of entries."""
+"""The interval is at least this time multiplied by the number of entries, so that hints cost an
+entry no more in a deployment of hundreds of entries."""
 RECENT_HINT_INTERVALS = 2.5
 """Silence of a peer, in hint intervals, from which its share of a hot organisation's burst is
 reserved until its next hint. Each side of a partition could otherwise use up a whole burst before
--- a/tests/direct/test_organisations.py
+++ b/tests/direct/test_organisations.py
@@ -281,7 +281,7 @@
                 assert answer.status == 503
 
 
-def test_each_request_on_a_kept_alive_connection_is_checked_by_its_own_key(running: Served) -> None:
+def test_each_request_on_a_keep_alive_connection_is_checked_by_its_own_key(running: Served) -> None:
     """The first key on a connection must not authorise the requests that follow."""
     _, entry, _ = running
     connection = http.client.HTTPConnection("127.0.0.1", entry.port, timeout=5.0)
--- a/tests/measure_restarts.py
+++ b/tests/measure_restarts.py
@@ -6,7 +6,8 @@
 run only once, and every 0.4 s a stream that may be resumed. The servers are restarted in turn,
 alternately after a crash and after the loss of their link. The output shows the time from a restart
 until the restarted server has received a request (p50 and worst), the number of answers by status,
-the streams that ended early ("cut"), and the longest time that a caller waited.
+of which any other than 200 is a failure, the streams that ended early ("cut"), and the longest time
+that a caller waited.
 """
 
 from __future__ import annotations
