--- a/tests/history.py
+++ b/tests/history.py
@@ -34,11 +34,11 @@
         code: Error code of a failure; empty otherwise.
         body: Response body.
         clean: Whether the response was successful and complete.
-        began: When the request was sent, in seconds on the monotonic clock.
+        sent_at: When the request was sent, in seconds on the monotonic clock.
         first: Seconds from sending to the first bytes of the response, or ``None``.
         took: Seconds from sending to the end of the response.
         retry_after: Response header ``Retry-After``; empty when absent.
-        key: Idempotency key of the request; empty when absent.
+        idempotency_key: Idempotency key of the request; empty when absent.
     """
 
     digest: str
@@ -48,11 +48,11 @@
     code: str
     body: bytes
     clean: bool
-    began: float
+    sent_at: float
     first: float | None
     took: float
     retry_after: str = ""
-    key: str = ""
+    idempotency_key: str = ""
 
     @property
     def text(self) -> str:
@@ -105,13 +105,13 @@
         headers: Mapping[str, str] | None = None,
     ) -> Call:
         """Send a request, and record and return the call."""
-        began = time.monotonic()
+        sent_at = time.monotonic()
         first: list[float] = []
         chunks: list[bytes] = []
 
         def on_data(data: bytes) -> None:
             if not first:
-                first.append(time.monotonic() - began)
+                first.append(time.monotonic() - sent_at)
             chunks.append(data)
 
         status = NO_ANSWER
@@ -132,11 +132,11 @@
             code=_error_code(status, content),
             body=content,
             clean=is_complete and status == 200 and (not stream or ended_clean(content)),
-            began=began,
+            sent_at=sent_at,
             first=first[0] if first else None,
-            took=time.monotonic() - began,
+            took=time.monotonic() - sent_at,
             retry_after=response_headers.get("retry-after", ""),
-            key=(headers or {}).get("Idempotency-Key", ""),
+            idempotency_key=(headers or {}).get("Idempotency-Key", ""),
         )
         with self._lock:
             self.calls.append(call)
