--- a/packages/node/src/carobspool_node/direct/_item_order.py
+++ b/packages/node/src/carobspool_node/direct/_item_order.py
@@ -47,7 +47,7 @@
         return max(0.0, self.turn - (wall - self.wall))
 
 
-def waiting_in_order(
+def order_waiting_items(
     jobs: Iterable[OwnedJob], configuration: Configuration, pace: ItemPace, *, now: Millis
 ) -> list[WaitingItem]:
     """Return the items that can be started; what can no longer be on time comes last.
@@ -61,7 +61,7 @@
     found: list[WaitingItem] = []
     wall = wall_millis()
     for job in jobs:
-        if job.lost or job.leaving or job.finished:
+        if job.lost or job.releasing or job.finished:
             continue
         with job.lock:
             waiting = job.work.waiting_items(now)
--- a/packages/node/src/carobspool_node/direct/_item_run.py
+++ b/packages/node/src/carobspool_node/direct/_item_run.py
@@ -28,9 +28,9 @@
 HEAD_TIMEOUT: Millis = 4_000.0
 """Longest time to the first event of an item. It may wait at an engine behind a burst of online
 requests, which lasts some two seconds."""
-ITEM_SILENCE: Millis = 2_000.0
+MAX_EVENT_GAP: Millis = 2_000.0
 """Pause after which an item goes on elsewhere; events come every 30 ms or so."""
-RUN_LIMIT: Millis = 60_000.0
+MAX_RUN_DURATION: Millis = 60_000.0
 
 
 class RunEnd(StrEnum):
@@ -39,7 +39,7 @@
     COMPLETED = "completed"
     FAILED = "failed"
     REJECTED = "rejected"
-    TURNED_AWAY = "turned_away"
+    NOT_RUN = "turned_away"
     INTERRUPTED = "interrupted"
     BROKEN = "broken"
 
@@ -73,7 +73,7 @@
         try:
             head = call.start(self._request(job, work, upstream), now + HEAD_TIMEOUT)
             self._loads.heard(upstream)
-            return self._take(call, head, work, upstream)
+            return self._read_response(call, head, work, upstream)
         except CallFailedError as error:
             self._loads.suspect(upstream)
             return RunOutcome(end=RunEnd.BROKEN, detail=str(error))
@@ -85,20 +85,20 @@
         finally:
             call.close()
 
-    def _take(
+    def _read_response(
         self, call: UpstreamCall, head: UpstreamHead, work: ItemWork, upstream: Upstream
     ) -> RunOutcome:
-        deadline = self._clock.now() + RUN_LIMIT
+        deadline = self._clock.now() + MAX_RUN_DURATION
         if head.header(self._names.not_run) is not None or head.status == 421:
             call.read_body(deadline)
-            return RunOutcome(end=RunEnd.TURNED_AWAY, detail=f"status {head.status}")
+            return RunOutcome(end=RunEnd.NOT_RUN, detail=f"status {head.status}")
         if head.header(self._names.signature) is None:
             raise CallFailedError("an answer without the server's signature", sent=True)
         if not head.succeeded:
             call.read_body(deadline)
-            return _refused(head.status)
+            return _refusal_outcome(head.status)
         splitter = EventSplitter()
-        for data in call.body(deadline, silence=ITEM_SILENCE):
+        for data in call.body(deadline, silence=MAX_EVENT_GAP):
             self._loads.heard(upstream)
             for event in splitter.feed(data):
                 if event.event_id is None:
@@ -133,7 +133,7 @@
         )
 
 
-def _refused(status: int) -> RunOutcome:
+def _refusal_outcome(status: int) -> RunOutcome:
     if status == 422:
         return RunOutcome(end=RunEnd.REJECTED, detail="status 422")
     if status == 500:
--- a/packages/node/src/carobspool_node/direct/_job_adoption.py
+++ b/packages/node/src/carobspool_node/direct/_job_adoption.py
@@ -16,18 +16,18 @@
 
 from carobspool_core import Clock, Millis, StoredObject, StoreFailure, StoreFault
 from carobspool_core.direct import JobInput
-from carobspool_node.direct._job_catalog import JobCatalog, nothing_done
+from carobspool_node.direct._job_catalog import JobCatalog, initial_progress
 from carobspool_node.direct._job_records import INPUTS, PROGRESS, StoredProgress
 from carobspool_node.direct._job_runner import JobRunner
 from carobspool_node.direct._owned_job import OwnedJob
 from carobspool_node.direct._peers import Peers
 from carobspool_node.direct._telemetry import Telemetry
 
-OTHERS_TURN: Millis = 3_000.0
+FALLBACK_ADOPTION_DELAY: Millis = 3_000.0
 """How long a job without an owner is left to the entry that all others would choose: it knows of
 the loss within a few hints, and its takeover takes three calls to the store."""
 
-_NOBODY_CAN_OWN = (StoreFault.NOT_FOUND, StoreFault.UNREADABLE)
+_UNRECOVERABLE_FAULTS = (StoreFault.NOT_FOUND, StoreFault.UNREADABLE)
 """Asking again would cost a call each half second for as long as the record lies there."""
 
 
@@ -73,11 +73,11 @@
         self._peers = peers
         self._telemetry = telemetry
         self._peers_settled = peers_settled
-        self._adopting = threading.Lock()
+        self._takeover_lock = threading.Lock()
         self._orphans: dict[str, _Orphan] = {}
         self._orphans_lock = threading.Lock()
 
-    def own(self, job: JobInput, stored: StoredProgress, *, asked: Millis) -> None:
+    def start_owning(self, job: JobInput, stored: StoredProgress, *, requested_at: Millis) -> None:
         """Work on a job from now on.
 
         Args:
@@ -85,10 +85,12 @@
             stored: Its progress in the store.
             asked: When the store was asked for the write that made this entry the owner.
         """
-        self._catalog.keep(job)
+        self._catalog.cache_input(job)
         records = self._catalog.records
         identity = self._peers.identity
-        self._runner.add(OwnedJob(job, stored, records, identity, self._clock, asked=asked))
+        self._runner.add(
+            OwnedJob(job, stored, records, identity, self._clock, requested_at=requested_at)
+        )
         self._peers.announce()
         logging.info(
             "event=job_owned job=%s items=%d committed=%d",
@@ -97,7 +99,7 @@
             len(stored.progress.results),
         )
 
-    def find_owner(self, job_id: str, reason: str, *, lost_owner: str | None = None) -> bool:
+    def ensure_owner(self, job_id: str, reason: str, *, lost_owner: str | None = None) -> bool:
         """Make sure that a stored job has a living owner; return whether that is settled.
 
         Args:
@@ -111,22 +113,22 @@
         settled = self._peers_settled()
         if lost_owner is None and not settled:
             return False
-        job = self._catalog.input(job_id)
+        job = self._catalog.read_input(job_id)
         if not is_successful(job):
-            return job.failure().fault in _NOBODY_CAN_OWN
-        state = self._catalog.state(job.unwrap())
+            return job.failure().fault in _UNRECOVERABLE_FAULTS
+        state = self._catalog.current_progress(job.unwrap())
         if not is_successful(state):
-            return state.failure().fault in _NOBODY_CAN_OWN
+            return state.failure().fault in _UNRECOVERABLE_FAULTS
         progress = state.unwrap().progress
-        if self._catalog.keep_if_finished(job_id, progress):
+        if self._catalog.cache_if_finished(job_id, progress):
             return True
         if not settled and progress.owner != lost_owner:
             # Another has taken it over already, and this process has not heard of that one yet.
             # Taken from it, the job's runs are cut and resumed, once for each process that starts.
             return False
-        return self._adopt(job.unwrap(), state.unwrap(), reason)
+        return self._take_over(job.unwrap(), state.unwrap(), reason)
 
-    def orphaned(
+    def add_orphans(
         self, job_ids: Iterable[str], reason: str, *, lost_owner: str | None = None
     ) -> None:
         """Note jobs whose owner is gone; `adopt_orphans` finds each a new one.
@@ -144,7 +146,7 @@
                 if known is None or (lost_owner is not None and known.lost_owner != lost_owner):
                     self._orphans[job_id] = orphan
 
-    def adopt_orphans(self, mine: Callable[[str], bool]) -> None:
+    def adopt_orphans(self, is_assigned: Callable[[str], bool]) -> None:
         """Take over orphans; those that cannot be read stay for the next call.
 
         Args:
@@ -157,8 +159,8 @@
         for job_id, orphan in orphans.items():
             if self._has_owner(job_id):
                 settled = True
-            elif mine(job_id) or now - orphan.since > OTHERS_TURN:
-                settled = self.find_owner(job_id, orphan.reason, lost_owner=orphan.lost_owner)
+            elif is_assigned(job_id) or now - orphan.since > FALLBACK_ADOPTION_DELAY:
+                settled = self.ensure_owner(job_id, orphan.reason, lost_owner=orphan.lost_owner)
                 if settled and self._runner.get(job_id) is not None:
                     self._telemetry.time("job_orphan", self._clock.now() - orphan.since)
             else:
@@ -167,7 +169,7 @@
                 with self._orphans_lock:
                     self._orphans.pop(job_id, None)
 
-    def recover(self, mine: Callable[[str, str], bool]) -> bool:
+    def take_over_stored_jobs(self, is_assigned: Callable[[str, str], bool]) -> bool:
         """Take over open jobs in the store whose owner is gone; return whether it was read.
 
         Args:
@@ -180,7 +182,9 @@
             return False
         for job_id, stored in inputs.unwrap().objects.items():
             if not self._has_owner(job_id):
-                self._recover_job(job_id, stored, progress.unwrap().objects.get(job_id), mine)
+                self._recover_job(
+                    job_id, stored, progress.unwrap().objects.get(job_id), is_assigned
+                )
         return True
 
     def _recover_job(
@@ -188,45 +192,45 @@
         job_id: str,
         stored: StoredObject,
         progress: StoredObject | None,
-        mine: Callable[[str, str], bool],
+        is_assigned: Callable[[str, str], bool],
     ) -> None:
         records = self._catalog.records
-        job = records.input_of(stored)
+        job = records.decode_input(stored)
         if not is_successful(job):
-            self._leave_out(job_id, job.failure())
+            self._skip_unreadable(job_id, job.failure())
             return
-        self._catalog.keep(job.unwrap())
-        state = nothing_done(job.unwrap())
+        self._catalog.cache_input(job.unwrap())
+        state = initial_progress(job.unwrap())
         if progress is not None:
-            read = records.progress_of(progress)
+            read = records.decode_progress(progress)
             if not is_successful(read):
-                self._leave_out(job_id, read.failure())
+                self._skip_unreadable(job_id, read.failure())
                 return
             state = read.unwrap()
-        if self._catalog.keep_if_finished(job_id, state.progress):
+        if self._catalog.cache_if_finished(job_id, state.progress):
             return
-        is_mine = mine(job_id, state.progress.owner)
-        if not is_mine or not self._adopt(job.unwrap(), state, "recovered"):
-            self.orphaned([job_id], "recovered")
+        assigned_here = is_assigned(job_id, state.progress.owner)
+        if not assigned_here or not self._take_over(job.unwrap(), state, "recovered"):
+            self.add_orphans([job_id], "recovered")
 
-    def _leave_out(self, job_id: str, failure: StoreFailure) -> None:
+    def _skip_unreadable(self, job_id: str, failure: StoreFailure) -> None:
         """Go on without a job whose records cannot be read: one must not hold up the others."""
         if failure.fault is not StoreFault.UNREADABLE:
-            self.orphaned([job_id], "recovered")
+            self.add_orphans([job_id], "recovered")
 
     def _has_owner(self, job_id: str) -> bool:
         return self._runner.get(job_id) is not None or self._peers.holder_of(job_id) is not None
 
-    def _adopt(self, job: JobInput, state: StoredProgress, reason: str) -> bool:
+    def _take_over(self, job: JobInput, state: StoredProgress, reason: str) -> bool:
         """Become the owner of a job unless it has a living one; return whether it has one now."""
         job_id = job.job_id
         progress = state.progress
-        if self._answers_for(progress.owner, job_id):
+        if self._is_owned_by_live_peer(progress.owner, job_id):
             return True
-        with self._adopting:
+        with self._takeover_lock:
             if self._runner.get(job_id) is not None:
                 return True
-            asked = self._clock.now()
+            requested_at = self._clock.now()
             written = self._catalog.records.write_progress(
                 job_id,
                 replace(progress, owner=self._peers.identity),
@@ -241,9 +245,9 @@
                 "event=job_taken_over job=%s reason=%r from=%s", job_id, reason, progress.owner
             )
             self._telemetry.count("job_owners", change="taken_over")
-            self.own(job, written.unwrap(), asked=asked)
+            self.start_owning(job, written.unwrap(), requested_at=requested_at)
             return True
 
-    def _answers_for(self, owner: str, job_id: str) -> bool:
+    def _is_owned_by_live_peer(self, owner: str, job_id: str) -> bool:
         peer = self._peers.by_identity(owner)
         return peer is not None and peer.answers_for(job_id)
--- a/packages/node/src/carobspool_node/direct/_job_catalog.py
+++ b/packages/node/src/carobspool_node/direct/_job_catalog.py
@@ -38,39 +38,39 @@
         """The records in the store."""
         return self._records
 
-    def knows(self, job_id: str) -> bool:
+    def has_cached_input(self, job_id: str) -> bool:
         """Whether the input of a job is in memory."""
         return self._inputs.get(job_id) is not None
 
-    def keep(self, job: JobInput) -> None:
+    def cache_input(self, job: JobInput) -> None:
         """Remember the input of a job."""
         size = sum(len(item.body) + ITEM_OVERHEAD_BYTES for item in job.items)
         self._inputs.put(job.job_id, job, size)
 
-    def input(self, job_id: str) -> Result[JobInput, StoreFailure]:
+    def read_input(self, job_id: str) -> Result[JobInput, StoreFailure]:
         """Return a job as submitted; ``NOT_FOUND`` only when the store says so."""
         job = self._inputs.get(job_id)
         if job is not None:
             return Success(job)
         read = self._records.read_input(job_id)
         if is_successful(read):
-            self.keep(read.unwrap())
+            self.cache_input(read.unwrap())
         return read
 
-    def finished(self, job_id: str) -> JobProgress | None:
+    def cached_finished(self, job_id: str) -> JobProgress | None:
         """Return the progress of a job all of whose items have results, if it is in memory."""
         return self._finished.get(job_id)
 
-    def state(self, job: JobInput) -> Result[StoredProgress, StoreFailure]:
+    def current_progress(self, job: JobInput) -> Result[StoredProgress, StoreFailure]:
         """Return the progress of a job, also when nothing of it is committed yet."""
         read = self._records.read_progress(job.job_id)
         if is_successful(read):
             return read
         if read.failure().fault is StoreFault.NOT_FOUND:
-            return Success(nothing_done(job))
+            return Success(initial_progress(job))
         return Failure(read.failure())
 
-    def keep_if_finished(self, job_id: str, progress: JobProgress) -> bool:
+    def cache_if_finished(self, job_id: str, progress: JobProgress) -> bool:
         """Remember a progress that changes no more; return whether nothing is left to do."""
         if len(progress.results) < progress.total:
             return progress.ended
@@ -79,7 +79,7 @@
         return True
 
 
-def nothing_done(job: JobInput) -> StoredProgress:
+def initial_progress(job: JobInput) -> StoredProgress:
     """Return the progress of a job of which nothing is committed yet."""
     progress = JobProgress(owner=job.owner, total=len(job.items))
     return StoredProgress(progress=progress, segments=(), version=0)
--- a/packages/node/src/carobspool_node/direct/_job_records.py
+++ b/packages/node/src/carobspool_node/direct/_job_records.py
@@ -36,7 +36,7 @@
 INPUTS = "jobs/"
 PROGRESS = "progress/"
 PIECES = "pieces/"
-RECORD_SHARE = 0.4
+MAX_RECORD_SHARE = 0.4
 """Share of the store's value limit that a record or a piece may take: its text is escaped once more
 inside the object, which at worst doubles it, and the object has some fields of its own."""
 
@@ -82,10 +82,12 @@
         bad: Tells of records that are none.
     """
 
-    def __init__(self, store: ObjectStore, value_limit: int, bad: BadRecords | None = None) -> None:
+    def __init__(
+        self, store: ObjectStore, value_limit: int, bad_records: BadRecords | None = None
+    ) -> None:
         self._store = store
-        self._bad = bad
-        self._limit = int(value_limit * RECORD_SHARE)
+        self._bad_records = bad_records
+        self._limit = int(value_limit * MAX_RECORD_SHARE)
 
     def create_input(self, job: JobInput) -> Result[StoredObject, StoreFailure]:
         """Write a job as submitted; its creation is the acceptance."""
@@ -104,9 +106,9 @@
         stored = self._store.get(INPUTS + job_id)
         if not is_successful(stored):
             return Failure(stored.failure())
-        return self.input_of(stored.unwrap())
+        return self.decode_input(stored.unwrap())
 
-    def input_of(self, stored: StoredObject) -> Result[JobInput, StoreFailure]:
+    def decode_input(self, stored: StoredObject) -> Result[JobInput, StoreFailure]:
         """Return the job that an object holds or names; ``UNREADABLE`` when it is none."""
         try:
             value = stored.value
@@ -115,11 +117,11 @@
                 text = self._read_pieces(named.name, named.count)
                 if not is_successful(text):
                     return Failure(text.failure())
-                value = _json(text.unwrap())
+                value = _parse_json(text.unwrap())
             job = job_from_json(stored.key.removeprefix(INPUTS), value)
         except UnusableRecordError as error:
-            return self._unreadable(stored.key, error)
-        self._readable(stored.key)
+            return self._report_unreadable(stored.key, error)
+        self._report_readable(stored.key)
         return Success(job)
 
     def read_progress(self, job_id: str) -> Result[StoredProgress, StoreFailure]:
@@ -127,9 +129,9 @@
         stored = self._store.get(PROGRESS + job_id)
         if not is_successful(stored):
             return Failure(stored.failure())
-        return self.progress_of(stored.unwrap())
+        return self.decode_progress(stored.unwrap())
 
-    def progress_of(self, stored: StoredObject) -> Result[StoredProgress, StoreFailure]:
+    def decode_progress(self, stored: StoredObject) -> Result[StoredProgress, StoreFailure]:
         """Return the progress that an object holds, with the results it names.
 
         ``UNREADABLE`` when it is none.
@@ -142,10 +144,10 @@
                 text = self._read_pieces(segment.name, segment.pieces)
                 if not is_successful(text):
                     return Failure(text.failure())
-                results.extend(results_from_json(_json(text.unwrap())))
+                results.extend(results_from_json(_parse_json(text.unwrap())))
         except UnusableRecordError as error:
-            return self._unreadable(stored.key, error)
-        self._readable(stored.key)
+            return self._report_unreadable(stored.key, error)
+        self._report_readable(stored.key)
         progress = replace(tail, results=(*results, *tail.results))
         found = StoredProgress(progress=progress, segments=segments, version=stored.version)
         return Success(found)
@@ -234,16 +236,16 @@
                 return Failure(written.failure())
         return Success((name, len(pieces)))
 
-    def _unreadable(self, key: str, error: UnusableRecordError) -> Failure[StoreFailure]:
-        if self._bad is not None:
-            self._bad.note(key, error)
+    def _report_unreadable(self, key: str, error: UnusableRecordError) -> Failure[StoreFailure]:
+        if self._bad_records is not None:
+            self._bad_records.note(key, error)
         else:
             logging.warning("event=bad_job_record key=%s reason=%r", shown(key, 80), str(error))
         return Failure(StoreFailure(fault=StoreFault.UNREADABLE, key=key, detail=str(error)))
 
-    def _readable(self, key: str) -> None:
-        if self._bad is not None:
-            self._bad.mended(key)
+    def _report_readable(self, key: str) -> None:
+        if self._bad_records is not None:
+            self._bad_records.mended(key)
 
     def _read_pieces(self, name: str, count: int) -> Result[str, StoreFailure]:
         """Return the text of a long record.
@@ -259,9 +261,9 @@
                 failure = read.failure()
                 if failure.fault is StoreFault.NOT_FOUND:
                     # Pieces are written before the object that names them and removed after it.
-                    raise _unusable(key, "no such object", "a piece of a record")
+                    raise _record_error(key, "no such object", "a piece of a record")
                 return Failure(failure)
-            texts.append(_text_of(key, read.unwrap()))
+            texts.append(_piece_text(key, read.unwrap()))
         return Success("".join(texts))
 
 
@@ -277,7 +279,7 @@
     count: int = field(ge=0, le=MAX_PIECES)
 
 
-def _named(value: Any) -> Any:
+def _pieces_from_list(value: Any) -> Any:
     match value:
         case [name, count]:
             return {"name": name, "count": count}
@@ -285,13 +287,13 @@
 
 
 class _LongInput(Record):
-    pieces: Annotated[_Pieces, ValidatedBy(_named, "before")]
+    pieces: Annotated[_Pieces, ValidatedBy(_pieces_from_list, "before")]
 
 
 def _segments(value: Json) -> tuple[Segment, ...]:
     listed = value.get("segments", [])
     if not isinstance(listed, list):
-        raise _unusable("segments", type(listed).__name__, "a list")
+        raise _record_error("segments", type(listed).__name__, "a list")
     found = []
     for number, each in enumerate(listed):
         match each:
@@ -300,7 +302,7 @@
             ):
                 found.append(Segment(name=name, pieces=pieces, results=results))
             case _:
-                raise _unusable(
+                raise _record_error(
                     f"segments[{number}]", type(each).__name__, "a list of name, pieces, results"
                 )
     return tuple(found)
@@ -319,19 +321,19 @@
     return []
 
 
-def _text_of(key: str, piece: StoredObject) -> str:
+def _piece_text(key: str, piece: StoredObject) -> str:
     text = piece.value.get("text") if isinstance(piece.value, dict) else None
     if not isinstance(text, str):
-        raise _unusable(key, type(text).__name__, "a piece of a record")
+        raise _record_error(key, type(text).__name__, "a piece of a record")
     return text
 
 
-def _json(text: str) -> Json:
+def _parse_json(text: str) -> Json:
     try:
         return json.loads(text)
     except (ValueError, RecursionError) as error:
-        raise _unusable("(pieces)", repr(error)[:80], "JSON") from error
+        raise _record_error("(pieces)", repr(error)[:80], "JSON") from error
 
 
-def _unusable(path: str, found: str, allowed: str) -> UnusableRecordError:
+def _record_error(path: str, found: str, allowed: str) -> UnusableRecordError:
     return UnusableRecordError([Problem(file="", path=path, found=found, allowed=allowed)])
--- a/packages/node/src/carobspool_node/direct/_job_recovery.py
+++ b/packages/node/src/carobspool_node/direct/_job_recovery.py
@@ -27,7 +27,7 @@
 """Time between two tries to find an owner for jobs that have none, while the store is away."""
 RETRY_PAUSE_S, RETRY_JITTER_S = 0.3, 0.3
 """Pause between two tries to list the jobs; drawn, since all entries try after an outage."""
-SEARCH_DUTY = "search"
+ORPHAN_SEARCH_DUTY = "search"
 
 
 class JobRecovery:
@@ -63,7 +63,7 @@
         self._has_duty = has_duty
         self._started = clock.now()
         self._wake = threading.Event()
-        self._search_wanted = threading.Event()
+        self._search_requested = threading.Event()
 
     def start(self, *, first_start: bool) -> None:
         """Start to work.
@@ -73,7 +73,7 @@
                 hold no job that this entry has to take over.
         """
         if not first_start:
-            threading.Thread(target=self._recover, name="recover", daemon=True).start()
+            threading.Thread(target=self._recover_after_start, name="recover", daemon=True).start()
         threading.Thread(target=self._adopt_orphans, name="orphans", daemon=True).start()
 
     def peers_settled(self) -> bool:
@@ -83,15 +83,15 @@
     def peer_lost(self, peer: Peer) -> None:
         """Find owners for the jobs that a peer has named in its hints."""
         reason = f"lost {peer.identity}"
-        self._adoption.orphaned(peer.open_jobs, reason, lost_owner=peer.identity)
+        self._adoption.add_orphans(peer.open_jobs, reason, lost_owner=peer.identity)
         self._wake.set()
 
     def peer_gone(self, peer: Peer) -> None:
         """Search the store for jobs that a peer, which does not come back, has named to nobody."""
         logging.info("event=peer_gone peer=%s", peer.identity)
-        self._search_wanted.set()
+        self._search_requested.set()
 
-    def _recover(self) -> None:
+    def _recover_after_start(self) -> None:
         """Take over what a start of the whole system left without an owner.
 
         What an earlier process of this node owned has no owner for certain, and is taken back at
@@ -100,22 +100,22 @@
         the jobs again for all: after a loss of everything each listing is most of what the store
         holds, and all entries would ask for it at once.
         """
-        self._recover_all(lambda job_id, owner: self._was_own(owner))
+        self._recover_all(lambda job_id, owner: self._was_owned_by_node(owner))
         self._leaving.wait(max(0.0, SETTLE_TIME - (self._clock.now() - self._started)) / 1000.0)
-        if self._has_duty(SEARCH_DUTY):
-            self._recover_all(lambda job_id, owner: self._is_mine(job_id))
+        if self._has_duty(ORPHAN_SEARCH_DUTY):
+            self._recover_all(lambda job_id, owner: self._is_assigned_here(job_id))
         logging.info("event=recovered owned=%d", len(self._runner.owned()))
 
-    def _recover_all(self, mine: Callable[[str, str], bool]) -> None:
+    def _recover_all(self, is_assigned: Callable[[str, str], bool]) -> None:
         while not self._leaving.is_set():
-            if self._adoption.recover(mine):
+            if self._adoption.take_over_stored_jobs(is_assigned):
                 return
             self._leaving.wait(RETRY_PAUSE_S + random.random() * RETRY_JITTER_S)
 
-    def _was_own(self, owner: str) -> bool:
+    def _was_owned_by_node(self, owner: str) -> bool:
         return owner.partition("#")[0] == self._node
 
-    def _is_mine(self, job_id: str) -> bool:
+    def _is_assigned_here(self, job_id: str) -> bool:
         nodes = [peer.name for peer in self._peers.live() if not peer.leaving]
         nodes.append(self._node)
         return rendezvous_owner(job_id, nodes) == self._node
@@ -125,17 +125,17 @@
             self._wake.wait(ORPHAN_INTERVAL_S)
             self._wake.clear()
             try:
-                self._search_if_wanted()
-                self._adoption.adopt_orphans(self._is_mine)
+                self._search_if_requested()
+                self._adoption.adopt_orphans(self._is_assigned_here)
             except Exception:  # noqa: BLE001
                 logging.exception("event=takeover_failed")
 
-    def _search_if_wanted(self) -> None:
+    def _search_if_requested(self) -> None:
         """List the store for jobs without an owner, once for each entry that is gone."""
-        if not self._search_wanted.is_set():
+        if not self._search_requested.is_set():
             return
-        self._search_wanted.clear()
-        if not self._has_duty(SEARCH_DUTY):
+        self._search_requested.clear()
+        if not self._has_duty(ORPHAN_SEARCH_DUTY):
             return
-        if not self._adoption.recover(lambda job_id, owner: True):
-            self._search_wanted.set()
+        if not self._adoption.take_over_stored_jobs(lambda job_id, owner: True):
+            self._search_requested.set()
--- a/packages/node/src/carobspool_node/direct/_job_retention.py
+++ b/packages/node/src/carobspool_node/direct/_job_retention.py
@@ -66,7 +66,7 @@
         finished = {
             job_id: stored
             for job_id, stored in progress.unwrap().objects.items()
-            if self._is_lost(job_id, inputs.unwrap()) or self._is_finished(stored)
+            if self._is_input_missing(job_id, inputs.unwrap()) or self._is_finished(stored)
         }
         self._finished_since = {
             job_id: self._finished_since.get(job_id, now) for job_id in finished
@@ -86,12 +86,12 @@
         )
         return removed
 
-    def _is_lost(self, job_id: str, inputs: Listing) -> bool:
+    def _is_input_missing(self, job_id: str, inputs: Listing) -> bool:
         """Whether progress has no input; one whose name cannot be read may be there."""
         return inputs.complete and job_id not in inputs.objects
 
     def _is_finished(self, stored: StoredObject) -> bool:
-        read = self._records.progress_of(stored)
+        read = self._records.decode_progress(stored)
         if not is_successful(read):
             return False
         progress = read.unwrap().progress
--- a/packages/node/src/carobspool_node/direct/_job_runner.py
+++ b/packages/node/src/carobspool_node/direct/_job_runner.py
@@ -22,28 +22,28 @@
 )
 from carobspool_core.organisations import waiting_key
 from carobspool_node.direct._in_flight import BatchRun
-from carobspool_node.direct._item_order import WaitingItem, waiting_in_order
+from carobspool_node.direct._item_order import WaitingItem, order_waiting_items
 from carobspool_node.direct._item_run import ItemRunner, RunEnd, RunOutcome
 from carobspool_node.direct._loads import LoadTable
 from carobspool_node.direct._owned_job import OwnedJob
 from carobspool_node.direct._telemetry import Telemetry
 
-MAX_RUNS = 96
+MAX_CONCURRENT_RUNS = 96
 """Items run at once by one entry: more than all places of an engine fleet of this size, and a bound
 on threads."""
-IDLE_WAIT_S = 0.1
+MAX_POLL_INTERVAL_S = 0.1
 """Longest pause between two looks for room; events of this entry wake it earlier, so this is how
 long room that others made goes unnoticed."""
-SHORTEST_WAIT_S = 0.015
+MIN_POLL_INTERVAL_S = 0.015
 """Shortest pause between two looks. Hints tell of room hundreds of times a second, and a look goes
 through all that waits."""
-TURNED_AWAY_PAUSE: Millis = 60.0
-BROKEN_PAUSE: Millis = 100.0
-VIEW_AGE: Millis = 1_500.0
+NOT_RUN_RETRY_DELAY: Millis = 60.0
+BROKEN_RETRY_DELAY: Millis = 100.0
+START_PROOF_MAX_AGE: Millis = 1_500.0
 """Age of the last proof of ownership beyond which it is renewed before an item starts, when others
 may have acted for this entry since. A job that was ended through another entry must not start items
 three seconds later, and a sign of separation is seen within 0.9 s."""
-KEPT_FINISHED = 64
+MAX_FINISHED_JOBS = 64
 """Finished jobs that an entry answers for from memory; older ones are read from the store."""
 
 
@@ -72,12 +72,12 @@
         self._jobs: dict[str, OwnedJob] = {}
         self._wake = threading.Event()
         self._stopped = threading.Event()
-        self._runs = ThreadPoolExecutor(MAX_RUNS, thread_name_prefix="item")
-        self._commits = ThreadPoolExecutor(8, thread_name_prefix="commit")
-        self._proofs = ThreadPoolExecutor(4, thread_name_prefix="proof")
-        self._running = 0
+        self._run_pool = ThreadPoolExecutor(MAX_CONCURRENT_RUNS, thread_name_prefix="item")
+        self._commit_pool = ThreadPoolExecutor(8, thread_name_prefix="commit")
+        self._verify_pool = ThreadPoolExecutor(4, thread_name_prefix="proof")
+        self._run_count = 0
         self._committing: set[str] = set()
-        self._proving: set[str] = set()
+        self._verifying: set[str] = set()
         self._released: frozenset[str] = frozenset()
         self._pace = ItemPace()
         self._backlog = Backlog()
@@ -94,7 +94,7 @@
         self._loads.on_room(self._wake.set)
         threading.Thread(target=self._loop, name="jobs", daemon=True).start()
 
-    def stop(self, patience: Millis) -> None:
+    def stop(self, timeout: Millis) -> None:
         """Start nothing more, cancel what runs, commit what is done and answer for nothing.
 
         Args:
@@ -102,11 +102,11 @@
         """
         self._stopped.set()
         self._wake.set()
-        self.let_go(patience)
+        self.let_go(timeout)
         for job in self.owned():
-            job.lose()
+            job.mark_lost()
 
-    def let_go(self, patience: Millis) -> None:
+    def let_go(self, timeout: Millis) -> None:
         """Give up the unfinished jobs, with what is done of them committed.
 
         Args:
@@ -114,14 +114,14 @@
         """
         jobs = [job for job in self.owned() if not job.lost and not job.finished]
         for job in jobs:
-            job.leave()
-        commits = [self._commits.submit(job.commit) for job in jobs if job.leave_due()]
-        wait(commits, patience / 1000.0)
+            job.start_release()
+        commits = [self._commit_pool.submit(job.commit) for job in jobs if job.needs_final_commit()]
+        wait(commits, timeout / 1000.0)
         for job in jobs:
             if job.lost or job.finished:
                 continue
             self._released |= {job.job_id}
-            job.lose()
+            job.mark_lost()
             self._telemetry.count("job_owners", change="released")
             logging.info("event=job_released job=%s", job.job_id)
 
@@ -150,8 +150,8 @@
         """Take a peer's word that jobs have been ended in the store; the store is asked at once."""
         for job_id in job_ids:
             job = self.get(job_id)
-            if job is not None and job.told_ended():
-                self._ask_for_proof(job)
+            if job is not None and job.report_ended():
+                self._submit_verification(job)
 
     def backlog(self) -> Sequence[WaitingGroup]:
         """Return the items that wait here, for hints."""
@@ -180,33 +180,33 @@
 
     def _loop(self) -> None:
         while not self._stopped.is_set():
-            self._wake.wait(IDLE_WAIT_S)
-            self._stopped.wait(SHORTEST_WAIT_S)
+            self._wake.wait(MAX_POLL_INTERVAL_S)
+            self._stopped.wait(MIN_POLL_INTERVAL_S)
             self._wake.clear()
             try:
-                self._drop_lost()
-                self._commit_due()
+                self._evict_jobs()
+                self._submit_due_commits()
                 self._start_items()
             except Exception:  # noqa: BLE001
                 logging.exception("event=job_loop_failed")
 
-    def _drop_lost(self) -> None:
+    def _evict_jobs(self) -> None:
         jobs = self.owned()
         finished = [job for job in jobs if job.finished]
-        too_many = max(0, len(finished) - KEPT_FINISHED)
+        too_many = max(0, len(finished) - MAX_FINISHED_JOBS)
         dropped = [job for job in jobs if job.lost] + finished[:too_many]
         for job in dropped:
             with self._lock:
                 self._jobs.pop(job.job_id, None)
             logging.info("event=job_dropped job=%s lost=%s", job.job_id, job.lost)
 
-    def _commit_due(self) -> None:
+    def _submit_due_commits(self) -> None:
         now = self._clock.now()
         for job in self.owned():
-            if job.job_id in self._committing or not job.commit_due(now):
+            if job.job_id in self._committing or not job.is_commit_due(now):
                 continue
             self._committing.add(job.job_id)
-            self._commits.submit(self._commit, job)
+            self._commit_pool.submit(self._commit, job)
 
     def _commit(self, job: OwnedJob) -> None:
         started = self._clock.now()
@@ -235,24 +235,24 @@
         configuration = self._configuration()
         if configuration is None:
             return
-        order = waiting_in_order(self.owned(), configuration, self._pace, now=self._clock.now())
+        order = order_waiting_items(self.owned(), configuration, self._pace, now=self._clock.now())
         for waiting in order:
-            if self._stopped.is_set() or self._running >= MAX_RUNS:
+            if self._stopped.is_set() or self._run_count >= MAX_CONCURRENT_RUNS:
                 break
-            if not self._start(waiting):
+            if not self._try_start(waiting):
                 break
         self._waiting = [each for each in order if not each.work.running]
 
-    def _start(self, waiting: WaitingItem) -> bool:
+    def _try_start(self, waiting: WaitingItem) -> bool:
         """Start an item if there is room; return whether there may be room for the next one."""
         job, work, route = waiting.job, waiting.work, waiting.route
-        if route is None or self._is_too_old(job, route):
-            self._give_up(job, work, "its route is gone" if route is None else "too old")
+        if route is None or self._is_past_retention(job, route):
+            self._dead_letter(job, work, "its route is gone" if route is None else "too old")
             return True
-        if not self._is_still_ours(job):
+        if not self._may_start_items(job):
             return True
         upstreams = self._usable(route.service_for(work.item.item_id))
-        if not self._goes_first(waiting, upstreams):
+        if not self._is_ahead_of_peers(waiting, upstreams):
             return False
         placed = self._loads.place_batch(upstreams, urgency=waiting.urgency, due=waiting.due)
         if placed is None:
@@ -260,47 +260,47 @@
         upstream, run = placed
         work.running = True
         job.add_run(run)
-        self._running += 1
-        self._runs.submit(self._run, job, work, route, upstream, run)
+        self._run_count += 1
+        self._run_pool.submit(self._run, job, work, route, upstream, run)
         return True
 
-    def _goes_first(self, waiting: WaitingItem, upstreams: Sequence[Upstream]) -> bool:
+    def _is_ahead_of_peers(self, waiting: WaitingItem, upstreams: Sequence[Upstream]) -> bool:
         """Whether there is room for an item that is not left to items of other entries."""
         turn = waiting.turn_at(wall_millis())
         room = self._loads.room_for_batch(upstreams, urgency=waiting.urgency)
         with self._backlog_lock:
             return self._backlog.may_start(turn, room=room, now=self._clock.now())
 
-    def _is_too_old(self, job: OwnedJob, route: Route) -> bool:
+    def _is_past_retention(self, job: OwnedJob, route: Route) -> bool:
         return bool(route.retention) and wall_millis() - job.input.submitted >= route.retention
 
-    def _give_up(self, job: OwnedJob, work: ItemWork, reason: str) -> None:
+    def _dead_letter(self, job: OwnedJob, work: ItemWork, reason: str) -> None:
         with job.lock:
             job.work.finish(work, ItemEnd.DEAD)
         self._count_item(job, work, "dead", reason, None, None)
 
-    def _is_still_ours(self, job: OwnedJob) -> bool:
+    def _may_start_items(self, job: OwnedJob) -> bool:
         """Whether an item of a job may start; if that needs a proof, ask for it."""
-        if job.leaving:
+        if job.releasing:
             return False
         if (
-            job.proof.holds(doubt_until=self._doubt_until(), max_age=VIEW_AGE)
-            or job.proof.is_excused
+            job.proof.is_valid(doubt_until=self._doubt_until(), max_age=START_PROOF_MAX_AGE)
+            or job.proof.is_in_grace
         ):
             return not job.lost
-        if job.proof.may_ask:
-            self._ask_for_proof(job)
+        if job.proof.may_verify:
+            self._submit_verification(job)
         return False
 
-    def _ask_for_proof(self, job: OwnedJob) -> None:
+    def _submit_verification(self, job: OwnedJob) -> None:
         # The proof is a call to the store, which may hang; other jobs and commits do not wait.
         with self._lock:
-            if self._stopped.is_set() or job.job_id in self._proving:
+            if self._stopped.is_set() or job.job_id in self._verifying:
                 return
-            self._proving.add(job.job_id)
-        self._proofs.submit(self._prove, job)
+            self._verifying.add(job.job_id)
+        self._verify_pool.submit(self._verify, job)
 
-    def _prove(self, job: OwnedJob) -> None:
+    def _verify(self, job: OwnedJob) -> None:
         try:
             proven = job.verify()
             outcome = "lost" if job.lost else "ended" if job.work.ended else "ours"
@@ -316,7 +316,7 @@
             logging.exception("event=job_proof_failed job=%s", job.job_id)
         finally:
             with self._lock:
-                self._proving.discard(job.job_id)
+                self._verifying.discard(job.job_id)
             self._wake.set()
 
     def _run(
@@ -331,20 +331,20 @@
                 outcome = self._runner.run(job.input, work, upstream, run)
                 events = work.last_event - before
                 self._pace.ran(events=events, duration=self._clock.now() - started)
-            self._take_outcome(job, work, route, outcome)
+            self._apply_outcome(job, work, route, outcome)
             self._telemetry.time("item_run", self._clock.now() - started)
             self._count_item(job, work, outcome.end.value, outcome.detail, upstream, run)
         except Exception:  # noqa: BLE001
             logging.exception("event=item_failed job=%s item=%s", job.job_id, work.item.item_id)
-            work.not_before = self._clock.now() + BROKEN_PAUSE
+            work.not_before = self._clock.now() + BROKEN_RETRY_DELAY
         finally:
             job.remove_run(run)
             work.running = False
-            self._running -= 1
+            self._run_count -= 1
             self._loads.end_batch(upstream, run)
             self._wake.set()
 
-    def _take_outcome(
+    def _apply_outcome(
         self, job: OwnedJob, work: ItemWork, route: Route, outcome: RunOutcome
     ) -> None:
         now = self._clock.now()
@@ -357,10 +357,10 @@
                 job.work.failed(work, max_attempts=route.max_attempts)
             elif outcome.end is RunEnd.REJECTED:
                 job.work.rejected(work)
-            elif outcome.end is RunEnd.TURNED_AWAY:
-                work.not_before = now + TURNED_AWAY_PAUSE
+            elif outcome.end is RunEnd.NOT_RUN:
+                work.not_before = now + NOT_RUN_RETRY_DELAY
             elif outcome.end is RunEnd.BROKEN:
-                work.not_before = now + BROKEN_PAUSE
+                work.not_before = now + BROKEN_RETRY_DELAY
 
     def _count_item(
         self,
--- a/packages/node/src/carobspool_node/direct/_jobs.py
+++ b/packages/node/src/carobspool_node/direct/_jobs.py
@@ -25,7 +25,7 @@
 from carobspool_core.organisations import qualified_job_id, waiting_key
 from carobspool_core.problems import UnusableRecordError
 from carobspool_node.direct._job_adoption import JobAdoption
-from carobspool_node.direct._job_catalog import JobCatalog, nothing_done
+from carobspool_node.direct._job_catalog import JobCatalog, initial_progress
 from carobspool_node.direct._job_runner import JobRunner
 from carobspool_node.direct._owned_job import OwnedJob
 from carobspool_node.direct._peer import Peer
@@ -33,13 +33,13 @@
 from carobspool_node.direct._peer_messages import read_results
 from carobspool_node.direct._peers import Peers
 
-VERIFY_AGE: Millis = 700.0
+READ_PROOF_MAX_AGE: Millis = 700.0
 """Age of the last proof of ownership beyond which reads are preceded by a new one while others may
 have taken this entry for dead: a reader may see a position elsewhere and must find it here within a
 second."""
-PEER_TIMEOUT: Millis = 900.0
-END_TRIES = 4
-SUBMITTED_AGAIN = "submitted again"
+PEER_CALL_TIMEOUT: Millis = 900.0
+MAX_END_ATTEMPTS = 4
+RESUBMITTED = "submitted again"
 
 
 class Outcome(StrEnum):
@@ -88,24 +88,24 @@
             unowned: Name that it had if it was accepted before there were organisations.
         """
         job_id = job.job_id
-        if self._is_at_hand(job_id):
+        if self._is_known_locally(job_id):
             return Outcome.DONE
-        if unowned is not None and self._is_at_hand(unowned):
+        if unowned is not None and self._is_known_locally(unowned):
             return Outcome.DONE
         tokens = sum(item.tokens for item in job.items)
-        if not self._fits(route, job.organisation, tokens):
-            known = self._known(job_id)
+        if not self._is_within_quota(route, job.organisation, tokens):
+            known = self._is_stored(job_id)
             return Outcome.DONE if known else Outcome.OVER_QUOTA
         job = replace(job, owner=self._peers.identity, submitted=wall_millis())
-        asked = self._clock.now()
+        requested_at = self._clock.now()
         created = self._catalog.records.create_input(job)
         if is_successful(created):
-            self._adoption.own(job, nothing_done(job), asked=asked)
+            self._adoption.start_owning(job, initial_progress(job), requested_at=requested_at)
             return Outcome.DONE
         failure = created.failure()
         if failure.fault is StoreFault.CONFLICT:
-            if not self._adoption.find_owner(job_id, SUBMITTED_AGAIN):
-                self._adoption.orphaned([job_id], SUBMITTED_AGAIN)
+            if not self._adoption.ensure_owner(job_id, RESUBMITTED):
+                self._adoption.add_orphans([job_id], RESUBMITTED)
             return Outcome.DONE
         if failure.fault is StoreFault.UNKNOWN:
             return Outcome.UNKNOWN
@@ -119,7 +119,7 @@
         if not organisation:
             return None
         name = qualified_job_id(job_id, None)
-        return None if isinstance(self._input(name), Outcome) else name
+        return None if isinstance(self._read_input(name), Outcome) else name
 
     def results(self, job_id: str, after: int, wait: Millis) -> ResultsPage | Outcome:
         """Return results from a position on, waiting up to ``wait`` for the first."""
@@ -127,12 +127,12 @@
         page = self.own_results(job_id, after, wait)
         if page is not None:
             return page
-        finished = self._catalog.finished(job_id)
+        finished = self._catalog.cached_finished(job_id)
         if finished is not None:
-            return _page(finished.total, after, finished.results)
+            return _page_from(finished.total, after, finished.results)
         peer = self._peers.holder_of(job_id)
         if peer is not None:
-            page = self._results_from(peer, job_id, after, max(0.0, until - self._clock.now()))
+            page = self._results_from_peer(peer, job_id, after, max(0.0, until - self._clock.now()))
             if page is not None:
                 return page
         return self._results_from_store(job_id, after)
@@ -144,14 +144,14 @@
             return None
         if not job.finished and not self._is_proven(job) and not job.verify():
             return None
-        found = job.page(after, self._clock.now() + wait)
+        found = job.results_after(after, self._clock.now() + wait)
         if found is None:
             return None
         return ResultsPage(total=len(job.input.items), after=after, results=found)
 
     def body(self, job_id: str, item_id: str) -> bytes | Outcome:
         """Return the body of an item as submitted."""
-        job = self._input(job_id)
+        job = self._read_input(job_id)
         if isinstance(job, Outcome):
             return job
         for item in job.items:
@@ -167,16 +167,16 @@
         peer = self._peers.holder_of(job_id)
         if peer is None:
             return self._end_in_store(job_id)
-        if self._end_at(peer, job_id):
+        if self._end_at_peer(peer, job_id):
             return Outcome.DONE
         outcome = self._end_in_store(job_id)
         # The owner may have ended the job and be about to write that: a caller that is told that
         # nothing was done waits for results that never come.
         return Outcome.UNKNOWN if outcome is Outcome.UNAVAILABLE else outcome
 
-    def _end_at(self, peer: Peer, job_id: str) -> bool:
+    def _end_at_peer(self, peer: Peer, job_id: str) -> bool:
         try:
-            status, _ = self._caller.call(peer, "end", {"id": job_id}, PEER_TIMEOUT * 2)
+            status, _ = self._caller.call(peer, "end", {"id": job_id}, PEER_CALL_TIMEOUT * 2)
         except PeerCallError as error:
             logging.warning("event=peer_call_failed peer=%s reason=%r", peer.identity, error)
             return False
@@ -188,7 +188,7 @@
         if job is None or job.lost:
             return None
         job.end()
-        for _ in range(END_TRIES):
+        for _ in range(MAX_END_ATTEMPTS):
             if job.commit():
                 logging.info("event=job_ended job=%s through=owner", job_id)
                 return Outcome.DONE
@@ -198,9 +198,9 @@
         return Outcome.UNKNOWN
 
     def _is_proven(self, job: OwnedJob) -> bool:
-        return job.proof.holds(doubt_until=self._peers.doubt_until, max_age=VERIFY_AGE)
+        return job.proof.is_valid(doubt_until=self._peers.doubt_until, max_age=READ_PROOF_MAX_AGE)
 
-    def _fits(self, route: Route, organisation: str | None, tokens: int) -> bool:
+    def _is_within_quota(self, route: Route, organisation: str | None, tokens: int) -> bool:
         peers = self._peers.live()
         key = waiting_key(route.name, organisation)
         return fits_quota(
@@ -211,23 +211,23 @@
             entries=1 + len(peers),
         )
 
-    def _is_at_hand(self, job_id: str) -> bool:
+    def _is_known_locally(self, job_id: str) -> bool:
         """Whether a job is known here without a call to the store."""
         return (
             self._runner.get(job_id) is not None
             or self._peers.holder_of(job_id) is not None
-            or self._catalog.knows(job_id)
+            or self._catalog.has_cached_input(job_id)
         )
 
-    def _known(self, job_id: str) -> bool:
-        return not isinstance(self._input(job_id), Outcome)
+    def _is_stored(self, job_id: str) -> bool:
+        return not isinstance(self._read_input(job_id), Outcome)
 
-    def _results_from(
+    def _results_from_peer(
         self, peer: Peer, job_id: str, after: int, wait: Millis
     ) -> ResultsPage | None:
         body = {"id": job_id, "after": after, "wait": wait}
         try:
-            status, answer = self._caller.call(peer, "results", body, PEER_TIMEOUT + wait)
+            status, answer = self._caller.call(peer, "results", body, PEER_CALL_TIMEOUT + wait)
             if status != 200:
                 return None
             total, results = read_results(answer)
@@ -240,18 +240,18 @@
         read = self._catalog.records.read_progress(job_id)
         if is_successful(read):
             progress = read.unwrap().progress
-            self._catalog.keep_if_finished(job_id, progress)
-            return _page(progress.total, after, progress.results)
+            self._catalog.cache_if_finished(job_id, progress)
+            return _page_from(progress.total, after, progress.results)
         if read.failure().fault is not StoreFault.NOT_FOUND:
             return Outcome.UNAVAILABLE
-        job = self._input(job_id)
+        job = self._read_input(job_id)
         if isinstance(job, Outcome):
             return job
         return ResultsPage(total=len(job.items), after=after, results=())
 
-    def _input(self, job_id: str) -> JobInput | Outcome:
-        job = self._catalog.input(job_id)
-        return job.unwrap() if is_successful(job) else _outcome_of(job.failure())
+    def _read_input(self, job_id: str) -> JobInput | Outcome:
+        job = self._catalog.read_input(job_id)
+        return job.unwrap() if is_successful(job) else _failure_outcome(job.failure())
 
     def _end_in_store(self, job_id: str) -> Outcome:
         """End a job whose owner is unknown or cannot be asked.
@@ -260,11 +260,11 @@
         tell all others for some seconds. An owner that does not hear them has a sign of separation
         and asks the store before it starts anything.
         """
-        job = self._input(job_id)
+        job = self._read_input(job_id)
         if isinstance(job, Outcome):
             return job
-        for _ in range(END_TRIES):
-            read = self._catalog.state(job)
+        for _ in range(MAX_END_ATTEMPTS):
+            read = self._catalog.current_progress(job)
             if not is_successful(read):
                 return Outcome.UNAVAILABLE
             state = read.unwrap()
@@ -296,11 +296,11 @@
         return Outcome.UNAVAILABLE
 
 
-def _page(total: int, after: int, results: Sequence[ItemResult]) -> ResultsPage:
+def _page_from(total: int, after: int, results: Sequence[ItemResult]) -> ResultsPage:
     return ResultsPage(total=total, after=after, results=results[after:])
 
 
-def _outcome_of(failure: StoreFailure) -> Outcome:
+def _failure_outcome(failure: StoreFailure) -> Outcome:
     if failure.fault is StoreFault.NOT_FOUND:
         return Outcome.NOT_FOUND
     return Outcome.UNAVAILABLE
--- a/packages/node/src/carobspool_node/direct/_owned_job.py
+++ b/packages/node/src/carobspool_node/direct/_owned_job.py
@@ -20,9 +20,9 @@
 """Longest time without a commit while items receive events. When the owner is lost, its items go on
 after what is committed. An item runs for five seconds or more and the first result of a job comes
 after some four, so without checkpoints a loss threw away all that was running; one costs a call."""
-COMMIT_RETRY: Millis = 400.0
+COMMIT_RETRY_DELAY: Millis = 400.0
 """Pause after a commit that the store did not take; it doubles with each of them."""
-LONGEST_RETRY: Millis = 800.0
+MAX_COMMIT_RETRY_DELAY: Millis = 800.0
 """A committed result is to be read soon after the store is back."""
 
 
@@ -46,7 +46,7 @@
         owner: str,
         clock: Clock,
         *,
-        asked: Millis,
+        requested_at: Millis,
     ) -> None:
         self._work = JobWork(job, stored.progress)
         self._records = records
@@ -56,16 +56,16 @@
         self._clock = clock
         self._lock = threading.RLock()
         self._changed = threading.Condition(self._lock)
-        self._committing = threading.Lock()
+        self._commit_lock = threading.Lock()
         self._runs: set[BatchRun] = set()
         self._next_commit: Millis = 0.0
         self._retry_at: Millis = 0.0
-        self._retry_pause: Millis = COMMIT_RETRY
+        self._retry_pause: Millis = COMMIT_RETRY_DELAY
         self._next_checkpoint: Millis = clock.now() + CHECKPOINT_INTERVAL
         self._events_committed = self._work.events_received
         self._lost = False
-        self._leaving = False
-        self._proof = OwnershipProof(clock, asked=asked)
+        self._releasing = False
+        self._proof = OwnershipProof(clock, requested_at=requested_at)
 
     @property
     def job_id(self) -> str:
@@ -93,9 +93,9 @@
         return self._lost
 
     @property
-    def leaving(self) -> bool:
+    def releasing(self) -> bool:
         """Whether this entry is about to give the job up."""
-        return self._leaving
+        return self._releasing
 
     @property
     def proof(self) -> OwnershipProof:
@@ -118,7 +118,7 @@
         with self._lock:
             self._runs.discard(run)
 
-    def stop_runs(self, reason: str) -> None:
+    def cancel_runs(self, reason: str) -> None:
         """Cancel everything that runs for the job.
 
         Args:
@@ -133,9 +133,9 @@
         """End the job on behalf of its caller."""
         with self._lock:
             self._work.end()
-        self.stop_runs("the job was ended")
+        self.cancel_runs("the job was ended")
 
-    def told_ended(self) -> bool:
+    def report_ended(self) -> bool:
         """Take a peer's word that the job was ended in the store; return whether that is news.
 
         What runs is cancelled, and nothing starts before the store has shown how things are. The
@@ -143,13 +143,13 @@
         owner that believed the job finished would answer for it from what it held then.
         """
         with self._lock:
-            if self._work.ended or self._lost or self._proof.is_told_ended:
+            if self._work.ended or self._lost or self._proof.is_end_unverified:
                 return False
-            self._proof.told_ended()
-        self.stop_runs("a peer says that the job was ended")
+            self._proof.report_ended()
+        self.cancel_runs("a peer says that the job was ended")
         return True
 
-    def _learn_end(self, source: str) -> None:
+    def _apply_stored_end(self, source: str) -> None:
         with self._lock:
             if self._work.ended:
                 return
@@ -161,35 +161,35 @@
             )
             self.end()
 
-    def lose(self) -> None:
+    def mark_lost(self) -> None:
         """Stop working on a job that another entry has taken over."""
         with self._lock:
             self._lost = True
             self._changed.notify_all()
-        self.stop_runs("another entry owns the job")
+        self.cancel_runs("another entry owns the job")
 
-    def leave(self) -> None:
+    def start_release(self) -> None:
         """Start nothing more and cancel what runs, before the last commit: it would be lost."""
-        self._leaving = True
-        self.stop_runs("this entry is leaving")
+        self._releasing = True
+        self.cancel_runs("this entry is leaving")
 
-    def commit_due(self, now: Millis) -> bool:
+    def is_commit_due(self, now: Millis) -> bool:
         """Whether there is something to commit and it is time."""
         with self._lock:
             if self._lost or now < self._retry_at:
                 return False
             if not self._work.has_uncommitted:
-                return now >= self._next_checkpoint and self._has_new_events()
+                return now >= self._next_checkpoint and self._has_uncommitted_events()
             return now >= self._next_commit or self._work.all_run
 
-    def leave_due(self) -> bool:
+    def needs_final_commit(self) -> bool:
         """Whether a leaving owner has something that the next one can use."""
         with self._lock:
-            return not self._lost and (self._work.has_uncommitted or self._has_new_events())
+            return not self._lost and (self._work.has_uncommitted or self._has_uncommitted_events())
 
     def commit(self) -> bool:
         """Write the progress; return whether the store has it."""
-        with self._committing:
+        with self._commit_lock:
             if self._lost:
                 return False
             with self._lock:
@@ -202,9 +202,9 @@
                 self.job_id, progress, version=self._version, segments=self._segments
             )
             if is_successful(written):
-                self._take(written.unwrap(), started)
+                self._apply_stored(written.unwrap(), started)
                 return True
-            return self._not_committed(written.failure(), started)
+            return self._handle_failed_commit(written.failure(), started)
 
     def verify(self) -> bool:
         """Read the progress back; return whether the store was read and the job is still ours.
@@ -216,16 +216,16 @@
         if is_successful(read):
             progress = read.unwrap().progress
             if progress.owner != self._owner:
-                self.lose()
+                self.mark_lost()
                 return False
             # Ended jobs keep their owner, since nobody has to take them over.
             if progress.ended:
-                self._learn_end("proof")
+                self._apply_stored_end("proof")
             self._proof.renew(started)
             return True
-        return self._not_proven(read.failure(), started)
+        return self._handle_failed_read(read.failure(), started)
 
-    def page(self, after: int, wait_until: Millis) -> list[ItemResult] | None:
+    def results_after(self, after: int, wait_until: Millis) -> list[ItemResult] | None:
         """Return committed results from a position on, waiting for one; ``None`` when lost."""
         with self._lock:
             while not self._lost and len(self._work.committed) <= after:
@@ -236,49 +236,49 @@
                 return None
             return list(self._work.committed[after:])
 
-    def _has_new_events(self) -> bool:
+    def _has_uncommitted_events(self) -> bool:
         if self._work.ended or self._work.all_run:
             return False
         return self._work.events_received != self._events_committed
 
-    def _take(self, stored: StoredProgress, started: Millis) -> None:
+    def _apply_stored(self, stored: StoredProgress, started: Millis) -> None:
         with self._lock:
             if stored.progress.ended:
-                self._learn_end("commit")
-            self._retry_pause = COMMIT_RETRY
+                self._apply_stored_end("commit")
+            self._retry_pause = COMMIT_RETRY_DELAY
             self._version = stored.version
             self._segments = stored.segments
             self._work.adopt(stored.progress)
             self._proof.renew(started)
             self._changed.notify_all()
 
-    def _not_proven(self, failure: StoreFailure, asked: Millis) -> bool:
+    def _handle_failed_read(self, failure: StoreFailure, requested_at: Millis) -> bool:
         if failure.fault is not StoreFault.NOT_FOUND:
-            self._proof.not_answered()
+            self._proof.record_store_failure()
             return False
         if self._version == 0:
-            self._proof.renew(asked)
+            self._proof.renew(requested_at)
             return True
         # Only the records of jobs that are over are ever removed.
-        self.lose()
+        self.mark_lost()
         return False
 
-    def _not_committed(self, failure: StoreFailure, started: Millis) -> bool:
+    def _handle_failed_commit(self, failure: StoreFailure, started: Millis) -> bool:
         with self._lock:
             self._work.not_committed()
             self._retry_at = self._clock.now() + self._retry_pause
-            self._retry_pause = min(LONGEST_RETRY, self._retry_pause * 2.0)
+            self._retry_pause = min(MAX_COMMIT_RETRY_DELAY, self._retry_pause * 2.0)
         if failure.fault is StoreFault.NOT_FOUND:
-            return self._not_proven(failure, started)
+            return self._handle_failed_read(failure, started)
         if failure.fault is not StoreFault.CONFLICT or failure.current is None:
-            self._proof.not_answered()
+            self._proof.record_store_failure()
             return False
-        current = self._records.progress_of(failure.current)
+        current = self._records.decode_progress(failure.current)
         if not is_successful(current):
             return False
         if current.unwrap().progress.owner != self._owner:
-            self.lose()
+            self.mark_lost()
             return False
         # An earlier write of ours whose answer was lost took effect after all.
-        self._take(current.unwrap(), started)
+        self._apply_stored(current.unwrap(), started)
         return False
--- a/packages/node/src/carobspool_node/direct/_ownership_proof.py
+++ b/packages/node/src/carobspool_node/direct/_ownership_proof.py
@@ -11,7 +11,7 @@
 
 from carobspool_core import Clock, Millis
 
-EXCUSED_TIME: Millis = 1_500.0
+UNVERIFIED_GRACE: Millis = 1_500.0
 """How long a job goes on without a proof after the store could not be asked for one; the length of
 one call to a store that does not answer."""
 
@@ -25,52 +25,52 @@
             answer may have come late and others may have acted meanwhile.
     """
 
-    __slots__ = ("_asked", "_clock", "_excused_until", "_told_ended_at")
+    __slots__ = ("_clock", "_end_reported_at", "_grace_until", "_requested_at")
 
-    def __init__(self, clock: Clock, *, asked: Millis) -> None:
+    def __init__(self, clock: Clock, *, requested_at: Millis) -> None:
         self._clock = clock
-        self._asked = asked
-        self._told_ended_at: Millis = -math.inf
-        self._excused_until: Millis = 0.0
+        self._requested_at = requested_at
+        self._end_reported_at: Millis = -math.inf
+        self._grace_until: Millis = 0.0
 
     @property
     def age(self) -> Millis:
         """Time since the store was last asked."""
-        return self._clock.now() - self._asked
+        return self._clock.now() - self._requested_at
 
     @property
-    def is_told_ended(self) -> bool:
+    def is_end_unverified(self) -> bool:
         """Whether a peer said that the job was ended, and the store has not been asked since."""
-        return self._asked <= self._told_ended_at
+        return self._requested_at <= self._end_reported_at
 
     @property
-    def is_excused(self) -> bool:
+    def is_in_grace(self) -> bool:
         """Whether the job goes on without a proof, since the store could not be asked for one.
 
         Waiting would stop all batch work in each outage of the store, and in most of them nobody
         else reaches it either. What is started wrongly meanwhile is cancelled by the first proof
         that succeeds.
         """
-        return not self.is_told_ended and not self.may_ask
+        return not self.is_end_unverified and not self.may_verify
 
     @property
-    def may_ask(self) -> bool:
+    def may_verify(self) -> bool:
         """Whether it is time to ask, after the store could not be asked."""
-        return self._clock.now() >= self._excused_until
+        return self._clock.now() >= self._grace_until
 
-    def renew(self, asked: Millis) -> None:
+    def renew(self, requested_at: Millis) -> None:
         """Take that the store, asked at a moment, showed the job as ours."""
-        self._asked = max(self._asked, asked)
+        self._requested_at = max(self._requested_at, requested_at)
 
-    def not_answered(self) -> None:
+    def record_store_failure(self) -> None:
         """Note that the store could not be asked."""
-        self._excused_until = self._clock.now() + EXCUSED_TIME
+        self._grace_until = self._clock.now() + UNVERIFIED_GRACE
 
-    def told_ended(self) -> None:
+    def report_ended(self) -> None:
         """Note that a peer says that it has ended the job in the store."""
-        self._told_ended_at = self._clock.now()
+        self._end_reported_at = self._clock.now()
 
-    def holds(self, *, doubt_until: Millis, max_age: Millis) -> bool:
+    def is_valid(self, *, doubt_until: Millis, max_age: Millis) -> bool:
         """Whether nobody else can have taken over or ended the job unnoticed.
 
         Args:
@@ -78,6 +78,6 @@
                 however long ago the doubt was: the job may have gone on elsewhere all the while.
             max_age: Age up to which a proof is good enough all the same.
         """
-        if self.is_told_ended:
+        if self.is_end_unverified:
             return False
-        return self._asked >= doubt_until or self.age < max_age
+        return self._requested_at >= doubt_until or self.age < max_age
--- a/packages/node/tests/test_direct_foreign_jobs.py
+++ b/packages/node/tests/test_direct_foreign_jobs.py
@@ -130,7 +130,7 @@
     )
     assert is_successful(system.records.create_input(_job("done")))
     assert is_successful(system.records.write_progress("done", done, version=0))
-    assert system.adoption.recover(lambda job_id, owner: True)
+    assert system.adoption.take_over_stored_jobs(lambda job_id, owner: True)
     assert set(system.runner.jobs) == {"aaa", "zzz"}
     retention = JobRetention(system.clock, system.records, RETENTION, on_duty=lambda: True)
     removed = []
@@ -150,7 +150,7 @@
     read = system.records.read_input("j")
     assert not is_successful(read)
     assert read.failure().fault is StoreFault.UNREADABLE
-    assert system.adoption.find_owner("j", "lost")
+    assert system.adoption.ensure_owner("j", "lost")
     assert system.runner.jobs == {}
 
 
@@ -161,7 +161,7 @@
     read = system.records.read_progress("j")
     assert not is_successful(read)
     assert read.failure().fault is StoreFault.UNREADABLE
-    assert system.adoption.find_owner("j", "lost")
+    assert system.adoption.ensure_owner("j", "lost")
     assert system.runner.jobs == {}
 
 
--- a/packages/node/tests/test_direct_job_adoption.py
+++ b/packages/node/tests/test_direct_job_adoption.py
@@ -65,10 +65,10 @@
     heard of yet, so it waits. The owner then tells that it gave the job up. Its first note of the
     job must not hold it back: the items stood still for 2.2 s until another process had started."""
     adoption, runner = _start_beside("e1#1")
-    adoption.orphaned(["j"], "recovered")
+    adoption.add_orphans(["j"], "recovered")
     adoption.adopt_orphans(lambda job_id: True)
     assert not runner.jobs
-    adoption.orphaned(["j"], "lost e1#1", lost_owner="e1#1")
+    adoption.add_orphans(["j"], "lost e1#1", lost_owner="e1#1")
     adoption.adopt_orphans(lambda job_id: True)
     assert set(runner.jobs) == {"j"}
 
@@ -78,9 +78,9 @@
     entry takes them over. Entries that start then hear of the first one before they hear of the
     second, and took each job from its living owner, one after the other: its runs were cut."""
     adoption, runner = _start_beside("e3#1")
-    adoption.orphaned(["j"], "lost e1#1", lost_owner="e1#1")
+    adoption.add_orphans(["j"], "lost e1#1", lost_owner="e1#1")
     adoption.adopt_orphans(lambda job_id: True)
     assert not runner.jobs
-    adoption.orphaned(["j"], "lost e3#1", lost_owner="e3#1")
+    adoption.add_orphans(["j"], "lost e3#1", lost_owner="e3#1")
     adoption.adopt_orphans(lambda job_id: True)
     assert set(runner.jobs) == {"j"}
--- a/packages/node/tests/test_direct_job_runner.py
+++ b/packages/node/tests/test_direct_job_runner.py
@@ -96,7 +96,7 @@
     )
 
     def make(job: JobInput, stored: StoredProgress) -> OwnedJob:
-        return OwnedJob(job, stored, records, "e#1", clock, asked=clock.now())
+        return OwnedJob(job, stored, records, "e#1", clock, requested_at=clock.now())
 
     now = float(wall_millis())
     runner.add(_job("new", "/slow/x", now, make))
--- a/packages/node/tests/test_direct_owned_job.py
+++ b/packages/node/tests/test_direct_owned_job.py
@@ -18,8 +18,8 @@
 )
 from carobspool_node.direct._in_flight import BatchRun
 from carobspool_node.direct._job_records import JobRecords, StoredProgress
-from carobspool_node.direct._owned_job import COMMIT_RETRY, OwnedJob
-from carobspool_node.direct._ownership_proof import EXCUSED_TIME
+from carobspool_node.direct._owned_job import COMMIT_RETRY_DELAY, OwnedJob
+from carobspool_node.direct._ownership_proof import UNVERIFIED_GRACE
 from carobspool_standins.memory_store import MemoryObjects, MemoryStore
 
 OWNER = "e1#1"
@@ -54,7 +54,7 @@
     item = JobItem(item_id="i", path="/", headers={}, body=b"", tokens=1)
     given = JobInput(job_id="j", host="h", path="/", owner=OWNER, submitted=0.0, items=(item,))
     nothing = StoredProgress(progress=JobProgress(owner=OWNER, total=1), segments=(), version=0)
-    owned = OwnedJob(given, nothing, records, OWNER, clock, asked=clock.time)
+    owned = OwnedJob(given, nothing, records, OWNER, clock, requested_at=clock.time)
     assert owned.commit()
     return owned
 
@@ -102,12 +102,12 @@
 def test_a_proof_from_before_a_doubt_never_becomes_good(job: OwnedJob, clock: _Clock) -> None:
     """The doubt is long over, but the job may have been ended or taken over during it."""
     doubt_until = clock.time + 4_000.0
-    assert job.proof.holds(doubt_until=doubt_until, max_age=1_500.0)
+    assert job.proof.is_valid(doubt_until=doubt_until, max_age=1_500.0)
     clock.time += 60_000.0
-    assert not job.proof.holds(doubt_until=doubt_until, max_age=1_500.0)
+    assert not job.proof.is_valid(doubt_until=doubt_until, max_age=1_500.0)
     assert job.verify()
     clock.time += 60_000.0
-    assert job.proof.holds(doubt_until=doubt_until, max_age=1_500.0)
+    assert job.proof.is_valid(doubt_until=doubt_until, max_age=1_500.0)
 
 
 def test_a_job_goes_on_for_a_while_when_the_store_cannot_be_asked(
@@ -115,10 +115,10 @@
 ) -> None:
     store.outage = True
     assert not job.verify()
-    assert job.proof.is_excused
+    assert job.proof.is_in_grace
     assert not job.lost
-    clock.time += EXCUSED_TIME
-    assert not job.proof.is_excused
+    clock.time += UNVERIFIED_GRACE
+    assert not job.proof.is_in_grace
 
 
 def test_a_store_that_takes_no_commit_is_asked_with_pauses(
@@ -128,16 +128,16 @@
     again 60 times a second, by every entry with such a job."""
     (work,) = job.work.open_items()
     job.work.finish(work, ItemEnd.COMPLETED)
-    assert job.commit_due(clock.time)
+    assert job.is_commit_due(clock.time)
     refusal = Failure(StoreFailure(fault=StoreFault.UNAVAILABLE, key="j", detail="503"))
     monkeypatch.setattr(store, "update", lambda key, value, *, version: refusal)
     tries = 0
     for _ in range(1_000):
         clock.time += 10.0
-        if job.commit_due(clock.time):
+        if job.is_commit_due(clock.time):
             tries += 1
             assert not job.commit()
-    assert 5 <= tries <= 10_000.0 / COMMIT_RETRY + 1
+    assert 5 <= tries <= 10_000.0 / COMMIT_RETRY_DELAY + 1
 
 
 def test_a_peers_word_of_an_end_does_not_end_a_job_that_was_taken_over(
@@ -149,10 +149,10 @@
     run = _run(job)
     result = ItemResult(item_id="i", end=ItemEnd.COMPLETED, text="t")
     _change(records, owner="e2#1", results=(result,), ended=True)
-    assert job.told_ended()
+    assert job.report_ended()
     assert run.cancellation.cancelled
     assert not job.finished
-    assert not job.proof.holds(doubt_until=0.0, max_age=1_500.0)
+    assert not job.proof.is_valid(doubt_until=0.0, max_age=1_500.0)
     assert not job.verify()
     assert job.lost
 
@@ -163,23 +163,23 @@
     """The word came while the store was away, which is otherwise a reason to go on."""
     clock.time += 10.0
     store.outage = True
-    assert job.told_ended()
-    assert not job.told_ended()
+    assert job.report_ended()
+    assert not job.report_ended()
     assert not job.verify()
-    assert not job.proof.is_excused
+    assert not job.proof.is_in_grace
     store.outage = False
     clock.time += 10.0
     assert job.verify()
-    assert job.proof.holds(doubt_until=0.0, max_age=1_500.0)
+    assert job.proof.is_valid(doubt_until=0.0, max_age=1_500.0)
 
 
 def test_a_commit_under_way_says_nothing_of_a_later_word(job: OwnedJob, clock: _Clock) -> None:
     """A commit was sent before the word came, and is answered after it."""
-    asked = clock.time
+    requested_at = clock.time
     clock.time += 10.0
-    assert job.told_ended()
-    job.proof.renew(asked)
-    assert not job.proof.holds(doubt_until=0.0, max_age=1_500.0)
+    assert job.report_ended()
+    job.proof.renew(requested_at)
+    assert not job.proof.is_valid(doubt_until=0.0, max_age=1_500.0)
 
 
 def test_a_job_whose_records_are_gone_is_over(
@@ -190,4 +190,4 @@
     assert records.remove(store.get("progress/j").unwrap()) is None
     assert not job.verify()
     assert job.lost
-    assert not job.proof.is_excused
+    assert not job.proof.is_in_grace
