--- a/packages/node/src/carobspool_node/direct/_owned_job.py
+++ b/packages/node/src/carobspool_node/direct/_owned_job.py
@@ -1,4 +1,4 @@
-"""A batch job that this entry owns: its work, its commits, its readers."""
+"""A batch job that this entry owns: its items, its commits to the store, and its readers."""
 
 from __future__ import annotations
 
@@ -14,28 +14,29 @@
 from carobspool_node.direct._ownership_proof import OwnershipProof
 
 COMMIT_INTERVAL: Millis = 900.0
-"""Time between two commits of one job. A job's items end over some seconds; each commit is a priced
-call to the store, and a result may lie uncommitted for this long when its owner is killed."""
+"""Time between two commits of one job. A job's items finish over some seconds, and each commit is a
+billed call to the store. A result can be uncommitted for this long when its owner is killed."""
 CHECKPOINT_INTERVAL: Millis = 2_500.0
-"""Longest time without a commit while items receive events. When the owner is lost, its items go on
-after what is committed. An item runs for five seconds or more and the first result of a job comes
-after some four, so without checkpoints a loss threw away all that was running; one costs a call."""
+"""Longest time between two commits while items receive events. After the loss of the owner, items
+resume from the last commit. An item runs for five seconds or more and the first result of a job
+arrives after about four, so that without checkpoints the loss of an owner discarded all running
+items. A checkpoint costs one call to the store."""
 COMMIT_RETRY_DELAY: Millis = 400.0
-"""Pause after a commit that the store did not take; it doubles with each of them."""
+"""Delay after a failed commit; it doubles with each further failure."""
 MAX_COMMIT_RETRY_DELAY: Millis = 800.0
-"""A committed result is to be read soon after the store is back."""
+"""Upper bound of the delay, so that results become readable soon after an outage of the store."""
 
 
 class OwnedJob:
-    """State of one owned job; all methods are safe for threads.
+    """State of one owned job. All methods are thread-safe.
 
     Args:
-        job: As submitted.
+        job: The job as submitted.
         stored: Its progress in the store.
-        records: The records in the store.
-        owner: This entry, name and incarnation.
+        records: Access to the job records in the store.
+        owner: Name and incarnation of this entry.
         clock: The process's clock.
-        asked: When the store was asked for the write that made this entry the owner.
+        requested_at: When the write that made this entry the owner was sent to the store.
     """
 
     def __init__(
@@ -84,45 +85,45 @@
 
     @property
     def work(self) -> JobWork:
-        """The items; hold ``lock``."""
+        """The items and their results; access requires ``lock``."""
         return self._work
 
     @property
     def lost(self) -> bool:
-        """Whether another entry owns the job now."""
+        """Whether this entry no longer owns the job."""
         return self._lost
 
     @property
     def releasing(self) -> bool:
-        """Whether this entry is about to give the job up."""
+        """Whether this entry is about to release the job to another entry."""
         return self._releasing
 
     @property
     def proof(self) -> OwnershipProof:
-        """What the owner knows for certain."""
+        """The last confirmation of the ownership by the store."""
         return self._proof
 
     @property
     def finished(self) -> bool:
-        """Whether everything is committed and nothing is left to do."""
+        """Whether no item is left to run and every result is committed."""
         with self._lock:
             return self._work.finished
 
     def add_run(self, run: BatchRun) -> None:
-        """Count a run, so that the end of the job cancels it."""
+        """Register a run, so that it is cancelled when the job ends."""
         with self._lock:
             self._runs.add(run)
 
     def remove_run(self, run: BatchRun) -> None:
-        """Forget a run."""
+        """Remove a run that has ended."""
         with self._lock:
             self._runs.discard(run)
 
     def cancel_runs(self, reason: str) -> None:
-        """Cancel everything that runs for the job.
+        """Cancel all running items of the job.
 
         Args:
-            reason: Why, for the log.
+            reason: The reason that is logged.
         """
         with self._lock:
             runs = list(self._runs)
@@ -136,11 +137,14 @@
         self.cancel_runs("the job was ended")
 
     def report_ended(self) -> bool:
-        """Take a peer's word that the job was ended in the store; return whether that is news.
+        """Handle a peer's report that the job was ended in the store.
 
-        What runs is cancelled, and nothing starts before the store has shown how things are. The
-        word alone does not end the job here: another entry may have taken it over before, and an
-        owner that believed the job finished would answer for it from what it held then.
+        Running items are cancelled, and none starts until the store has been read. The report alone
+        does not end the job here: another entry may have taken it over before its end. An owner
+        that considered such a job finished would serve readers from outdated results.
+
+        Returns:
+            Whether the report is new.
         """
         with self._lock:
             if self._work.ended or self._lost or self._proof.is_end_unverified:
@@ -162,19 +166,22 @@
             self.end()
 
     def mark_lost(self) -> None:
-        """Stop working on a job that another entry has taken over."""
+        """Stop working on the job and serving it, because this entry no longer owns it."""
         with self._lock:
             self._lost = True
             self._changed.notify_all()
         self.cancel_runs("another entry owns the job")
 
     def start_release(self) -> None:
-        """Start nothing more and cancel what runs, before the last commit: it would be lost."""
+        """Stop starting items and cancel running ones, because this entry shuts down.
+
+        This precedes the last commit: events that are received after it would be lost.
+        """
         self._releasing = True
         self.cancel_runs("this entry is leaving")
 
     def is_commit_due(self, now: Millis) -> bool:
-        """Whether there is something to commit and it is time."""
+        """Whether there is progress to commit and the commit interval has passed."""
         with self._lock:
             if self._lost or now < self._retry_at:
                 return False
@@ -183,12 +190,12 @@
             return now >= self._next_commit or self._work.all_run
 
     def needs_final_commit(self) -> bool:
-        """Whether a leaving owner has something that the next one can use."""
+        """Whether the job has uncommitted progress that its next owner can use."""
         with self._lock:
             return not self._lost and (self._work.has_uncommitted or self._has_uncommitted_events())
 
     def commit(self) -> bool:
-        """Write the progress; return whether the store has it."""
+        """Write the progress to the store; return whether the write succeeded."""
         with self._commit_lock:
             if self._lost:
                 return False
@@ -207,9 +214,10 @@
             return self._handle_failed_commit(written.failure(), started)
 
     def verify(self) -> bool:
-        """Read the progress back; return whether the store was read and the job is still ours.
+        """Read the progress from the store; return whether it confirms this entry as the owner.
 
-        It also shows whether the job has been ended elsewhere; nothing of it starts then.
+        When the progress shows that the job was ended through another entry, the job ends here too
+        and starts no further items.
         """
         started = self._clock.now()
         read = self._records.read_progress(self.job_id)
@@ -218,7 +226,8 @@
             if progress.owner != self._owner:
                 self.mark_lost()
                 return False
-            # Ended jobs keep their owner, since nobody has to take them over.
+            # The owner's name does not show an end: ended jobs keep their owner, since no entry has
+            # to take them over.
             if progress.ended:
                 self._apply_stored_end("proof")
             self._proof.renew(started)
@@ -226,7 +235,12 @@
         return self._handle_failed_read(read.failure(), started)
 
     def results_after(self, after: int, wait_until: Millis) -> list[ItemResult] | None:
-        """Return committed results from a position on, waiting for one; ``None`` when lost."""
+        """Return the committed results after a position, or ``None`` if the ownership is lost.
+
+        Args:
+            after: Number of results to skip.
+            wait_until: How long to wait for the first result, as an instant of the clock.
+        """
         with self._lock:
             while not self._lost and len(self._work.committed) <= after:
                 if self._work.finished or self._clock.now() >= wait_until:
@@ -259,7 +273,7 @@
         if self._version == 0:
             self._proof.renew(requested_at)
             return True
-        # Only the records of jobs that are over are ever removed.
+        # Only records of finished or ended jobs are ever removed.
         self.mark_lost()
         return False
 
@@ -279,6 +293,6 @@
         if current.unwrap().progress.owner != self._owner:
             self.mark_lost()
             return False
-        # An earlier write of ours whose answer was lost took effect after all.
+        # The stored progress is an earlier write of this entry whose answer was lost.
         self._apply_stored(current.unwrap(), started)
         return False
--- a/packages/node/src/carobspool_node/direct/_ownership_proof.py
+++ b/packages/node/src/carobspool_node/direct/_ownership_proof.py
@@ -1,8 +1,9 @@
-"""What an owner knows for certain of its job: when the store last showed it, and since when it may
-be wrong.
+"""Tracks when the object store last confirmed that this entry owns a job, and whether that
+confirmation can be out of date.
 
-Other entries take over a job whose owner they have not heard, and end one whose owner they cannot
-ask. Both are writes to the store; only a read or a write of the owner shows them to it.
+Another entry takes over a job when it receives no hints from the job's owner, and ends a job in the
+store when it cannot call the owner. Both are writes to the store. The owner learns of them only
+when it reads or writes the job's progress itself.
 """
 
 from __future__ import annotations
@@ -12,17 +13,17 @@
 from carobspool_core import Clock, Millis
 
 UNVERIFIED_GRACE: Millis = 1_500.0
-"""How long a job goes on without a proof after the store could not be asked for one; the length of
+"""How long a job continues without a valid proof after a failed call to the store: the duration of
 one call to a store that does not answer."""
 
 
 class OwnershipProof:
-    """The last proof that a job is ours and has not been ended.
+    """The last confirmation by the store that this entry owns a job and the job has not been ended.
 
     Args:
         clock: The process's clock.
-        asked: When the store was asked for what it showed: the time of the question, since the
-            answer may have come late and others may have acted meanwhile.
+        requested_at: When the confirming call to the store was sent. The time of the answer would
+            be too late: other entries may have written between the store's answer and its arrival.
     """
 
     __slots__ = ("_clock", "_end_reported_at", "_grace_until", "_requested_at")
@@ -35,48 +36,53 @@
 
     @property
     def age(self) -> Millis:
-        """Time since the store was last asked."""
+        """Time since the last confirming call to the store was sent."""
         return self._clock.now() - self._requested_at
 
     @property
     def is_end_unverified(self) -> bool:
-        """Whether a peer said that the job was ended, and the store has not been asked since."""
+        """Whether a peer has reported an end that no later call to the store has checked."""
         return self._requested_at <= self._end_reported_at
 
     @property
     def is_in_grace(self) -> bool:
-        """Whether the job goes on without a proof, since the store could not be asked for one.
+        """Whether the job continues without a valid proof because the store is unreachable.
 
-        Waiting would stop all batch work in each outage of the store, and in most of them nobody
-        else reaches it either. What is started wrongly meanwhile is cancelled by the first proof
-        that succeeds.
+        Waiting for the store would stop all batch work during each of its outages, and in most
+        outages no other entry reaches the store either. The first successful verification cancels
+        items that should not have been started.
         """
         return not self.is_end_unverified and not self.may_verify
 
     @property
     def may_verify(self) -> bool:
-        """Whether it is time to ask, after the store could not be asked."""
+        """Whether enough time has passed since the last failed call to try the store again."""
         return self._clock.now() >= self._grace_until
 
     def renew(self, requested_at: Millis) -> None:
-        """Take that the store, asked at a moment, showed the job as ours."""
+        """Record that a call to the store confirmed the ownership.
+
+        Args:
+            requested_at: When the call was sent.
+        """
         self._requested_at = max(self._requested_at, requested_at)
 
     def record_store_failure(self) -> None:
-        """Note that the store could not be asked."""
+        """Record that a call to the store failed, which starts the grace period."""
         self._grace_until = self._clock.now() + UNVERIFIED_GRACE
 
     def report_ended(self) -> None:
-        """Note that a peer says that it has ended the job in the store."""
+        """Record that a peer reports to have ended the job in the store."""
         self._end_reported_at = self._clock.now()
 
     def is_valid(self, *, doubt_until: Millis, max_age: Millis) -> bool:
-        """Whether nobody else can have taken over or ended the job unnoticed.
+        """Whether the proof rules out a takeover or an end by another entry.
 
         Args:
-            doubt_until: Until when others may have done so. A proof that is older says nothing,
-                however long ago the doubt was: the job may have gone on elsewhere all the while.
-            max_age: Age up to which a proof is good enough all the same.
+            doubt_until: Until when other entries may have taken over or ended the job. A proof from
+                before that time stays invalid however long ago it was: the job may have been
+                running at another entry since.
+            max_age: Age up to which a proof is accepted regardless of ``doubt_until``.
         """
         if self.is_end_unverified:
             return False
