--- a/packages/node/src/carobspool_node/direct/_in_flight.py
+++ b/packages/node/src/carobspool_node/direct/_in_flight.py
@@ -1,4 +1,4 @@
-"""What is in flight at upstreams: requests, and batch runs that can be cancelled."""
+"""Work in flight at upstreams: online requests, and batch runs that can be cancelled."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
     """A batch item that runs at an upstream and can be cancelled.
 
     Attributes:
-        started: When it was placed.
-        urgency: How it stood when it was placed.
-        due: When its job is due, by the wall clock; only for an order.
-        cancellation: Ends it.
+        started: When the item was placed.
+        urgency: Urgency class of the item when it was placed.
+        due: When the job is due, by the wall clock; used only to order runs.
+        cancellation: Cancels the run.
     """
 
     started: Millis
@@ -26,13 +26,13 @@
 
 
 class OwnRequests(Struct, kw_only=True):
-    """What this entry has in flight at one upstream.
+    """Work of this entry in flight at one upstream.
 
     Attributes:
-        upstream: Where.
-        heard: When the upstream has last sent anything, or the first of these was sent.
-        online: Requests of callers.
-        runs: Batch items.
+        upstream: The upstream.
+        heard: When the upstream last sent anything, or when the first of these requests was sent.
+        online: Number of online requests.
+        runs: Batch runs.
     """
 
     upstream: Upstream
@@ -50,9 +50,9 @@
     """An online request at its upstream.
 
     Attributes:
-        upstream: Where it goes.
-        started: When it was placed.
-        load: What was known to be in flight there.
+        upstream: The chosen upstream.
+        started: When the request was placed.
+        load: Load that was known to be in flight at the upstream before.
     """
 
     upstream: Upstream
@@ -61,5 +61,5 @@
 
     @property
     def found_free(self) -> bool:
-        """Whether a slot seemed free, so that the request's duration holds no wait."""
+        """Whether a slot seemed free, so that the request's duration includes no queueing."""
         return self.load.total < self.upstream.slots
--- a/packages/node/src/carobspool_node/direct/_item_order.py
+++ b/packages/node/src/carobspool_node/direct/_item_order.py
@@ -1,4 +1,4 @@
-"""The waiting items of all owned jobs, in the order in which they are started."""
+"""Start order of the waiting items of all owned jobs."""
 
 from __future__ import annotations
 
@@ -24,14 +24,15 @@
     """An item that can be started.
 
     Attributes:
-        job: Its job.
-        work: The item.
-        route: Its route; ``None`` when no route leads to it any more.
-        urgency: How it stands.
-        due: When its job is due, by the wall clock. Counted from the submission, not from when
-            this entry took the job on: a job that was taken over has lost time already.
-        turn: Where it stands among the items of all entries when ``wall`` was read.
-        wall: Wall-clock milliseconds.
+        job: The job of the item.
+        work: The item and its state.
+        route: The route of the item; ``None`` when no batch route matches its path any more.
+        urgency: Urgency class of the item.
+        due: When the job is due, in wall-clock milliseconds. It is counted from the submission, not
+            from when this entry became the owner: a job that was taken over has lost time already.
+        turn: Position among the waiting items of all entries at the time ``wall``; the lowest
+            starts first.
+        wall: Wall-clock milliseconds at which ``turn`` was computed.
     """
 
     job: OwnedJob
@@ -43,20 +44,20 @@
     wall: float
 
     def turn_at(self, wall: float) -> Millis:
-        """Return its turn at a later time."""
+        """Return the item's turn at a later time, in wall-clock milliseconds."""
         return max(0.0, self.turn - (wall - self.wall))
 
 
 def order_waiting_items(
     jobs: Iterable[OwnedJob], configuration: Configuration, pace: ItemPace, *, now: Millis
 ) -> list[WaitingItem]:
-    """Return the items that can be started; what can no longer be on time comes last.
+    """Return the items that can be started, those that can no longer be on time last.
 
     Args:
         jobs: The owned jobs.
-        configuration: The routes.
-        pace: How long items run.
-        now: The clock's instant, for pauses between the runs of an item.
+        configuration: The current routes.
+        pace: Estimates how long items run.
+        now: The clock's instant, with which the retry delays of items are compared.
     """
     found: list[WaitingItem] = []
     wall = wall_millis()
--- a/packages/node/src/carobspool_node/direct/_item_run.py
+++ b/packages/node/src/carobspool_node/direct/_item_run.py
@@ -1,4 +1,4 @@
-"""One run of one batch item at an upstream, as a stream that can give way and resume."""
+"""Runs one batch item at an upstream, as an event stream that can be cancelled and resumed."""
 
 from __future__ import annotations
 
@@ -26,15 +26,25 @@
 )
 
 HEAD_TIMEOUT: Millis = 4_000.0
-"""Longest time to the first event of an item. It may wait at an engine behind a burst of online
-requests, which lasts some two seconds."""
+"""Longest time to the first event of an item. The item can wait at an engine behind a burst of
+online requests, which lasts about two seconds."""
 MAX_EVENT_GAP: Millis = 2_000.0
-"""Pause after which an item goes on elsewhere; events come every 30 ms or so."""
+"""Gap between events after which an item resumes at another upstream. Events usually arrive about
+every 30 ms."""
 MAX_RUN_DURATION: Millis = 60_000.0
 
 
 class RunEnd(StrEnum):
-    """How a run ended."""
+    """How a run ended.
+
+    Attributes:
+        COMPLETED: The upstream has sent the whole item.
+        FAILED: The upstream failed to process the item (500); it may be tried again.
+        REJECTED: The upstream can never process the item (422).
+        NOT_RUN: The upstream refused the request without running the item.
+        INTERRUPTED: This entry cancelled the run.
+        BROKEN: The connection, the stream or its deadline failed, or the status was unexpected.
+    """
 
     COMPLETED = "completed"
     FAILED = "failed"
@@ -45,7 +55,7 @@
 
 
 class RunOutcome(Struct, frozen=True, kw_only=True):
-    """End of a run and what was seen."""
+    """How a run ended, with details for the log."""
 
     end: RunEnd
     detail: str = ""
@@ -67,7 +77,11 @@
         self._connections = connections
 
     def run(self, job: JobInput, work: ItemWork, upstream: Upstream, run: BatchRun) -> RunOutcome:
-        """Run an item of a job; its text so far stays in ``work`` whatever happens."""
+        """Run an item of a job.
+
+        Events that were received before a failure or a cancellation stay in ``work``, so that the
+        next run resumes after them.
+        """
         call = UpstreamCall(self._connections, upstream, self._names, cancellation=run.cancellation)
         now = self._clock.now()
         try:
@@ -79,7 +93,7 @@
             return RunOutcome(end=RunEnd.BROKEN, detail=str(error))
         except DeadlinePassedError:
             self._loads.suspect(upstream)
-            return RunOutcome(end=RunEnd.BROKEN, detail="no answer in time")
+            return RunOutcome(end=RunEnd.BROKEN, detail="deadline exceeded")
         except RunCancelledError:
             return RunOutcome(end=RunEnd.INTERRUPTED, detail=run.cancellation.reason)
         finally:
@@ -93,7 +107,7 @@
             call.read_body(deadline)
             return RunOutcome(end=RunEnd.NOT_RUN, detail=f"status {head.status}")
         if head.header(self._names.signature) is None:
-            raise CallFailedError("an answer without the server's signature", sent=True)
+            raise CallFailedError("the response has no server signature header", sent=True)
         if not head.succeeded:
             call.read_body(deadline)
             return _refusal_outcome(head.status)
@@ -106,7 +120,7 @@
                 if event.event_id <= work.last_event:
                     continue
                 if event.event_id != work.last_event + 1:
-                    raise CallFailedError("an event is missing", sent=True)
+                    raise CallFailedError("an event id is missing from the sequence", sent=True)
                 work.texts.append(event.data)
         if splitter.incomplete:
             raise CallFailedError("the stream ends in the middle of an event", sent=True)
--- a/packages/node/src/carobspool_node/direct/_job_runner.py
+++ b/packages/node/src/carobspool_node/direct/_job_runner.py
@@ -1,4 +1,5 @@
-"""Works on the owned jobs: starts items where there is room and commits their results."""
+"""Runs the jobs that this entry owns: starts items at upstreams with capacity and commits their
+results."""
 
 from __future__ import annotations
 
@@ -29,26 +30,36 @@
 from carobspool_node.direct._telemetry import Telemetry
 
 MAX_CONCURRENT_RUNS = 96
-"""Items run at once by one entry: more than all places of an engine fleet of this size, and a bound
-on threads."""
+"""Items that one entry runs at once. It exceeds the slots of all engines of a fleet of this size,
+and bounds the number of threads."""
 MAX_POLL_INTERVAL_S = 0.1
-"""Longest pause between two looks for room; events of this entry wake it earlier, so this is how
-long room that others made goes unnoticed."""
+"""Longest interval between two passes of the scheduling loop. Events of this entry wake the loop
+earlier, so that this bounds how long capacity freed by other entries stays unnoticed."""
 MIN_POLL_INTERVAL_S = 0.015
-"""Shortest pause between two looks. Hints tell of room hundreds of times a second, and a look goes
-through all that waits."""
+"""Shortest interval between two passes of the scheduling loop. Hints report freed capacity hundreds
+of times a second, and each pass visits all waiting items."""
 NOT_RUN_RETRY_DELAY: Millis = 60.0
 BROKEN_RETRY_DELAY: Millis = 100.0
 START_PROOF_MAX_AGE: Millis = 1_500.0
-"""Age of the last proof of ownership beyond which it is renewed before an item starts, when others
-may have acted for this entry since. A job that was ended through another entry must not start items
-three seconds later, and a sign of separation is seen within 0.9 s."""
+"""Oldest proof of ownership with which an item may start when other entries may have taken over or
+ended the job since. A job that was ended through another entry must not start items three seconds
+later, and a loss of contact between entries is detected within 0.9 s."""
 MAX_FINISHED_JOBS = 64
-"""Finished jobs that an entry answers for from memory; older ones are read from the store."""
+"""Finished jobs that an entry serves from memory; older ones are read from the store."""
 
 
 class JobRunner:
-    """The owned jobs and the tasks that work on them."""
+    """Schedules the items of the owned jobs and runs the threads that execute them.
+
+    Args:
+        clock: The process's clock.
+        loads: What is in flight at the upstreams.
+        runner: Runs single items.
+        telemetry: Counts runs, verifications and changes of owners; measures runs and commits.
+        configuration: Returns the current routes, ``None`` before they are known.
+        usable: Returns the upstreams of a service that this entry may use.
+        doubt_until: Returns until when other entries may have taken over or ended jobs of this one.
+    """
 
     def __init__(
         self,
@@ -86,19 +97,19 @@
 
     @property
     def released(self) -> frozenset[str]:
-        """Unfinished jobs that this entry has given up as it leaves."""
+        """Unfinished jobs that this entry has released during its shutdown."""
         return self._released
 
     def start(self) -> None:
-        """Start to work."""
+        """Start the scheduling loop."""
         self._loads.on_room(self._wake.set)
         threading.Thread(target=self._loop, name="jobs", daemon=True).start()
 
     def stop(self, timeout: Millis) -> None:
-        """Start nothing more, cancel what runs, commit what is done and answer for nothing.
+        """Stop the loop, cancel running items, commit progress and stop serving all jobs.
 
         Args:
-            patience: How long to wait for the commits.
+            timeout: How long to wait for the commits.
         """
         self._stopped.set()
         self._wake.set()
@@ -107,10 +118,10 @@
             job.mark_lost()
 
     def let_go(self, timeout: Millis) -> None:
-        """Give up the unfinished jobs, with what is done of them committed.
+        """Commit the progress of the unfinished jobs and release them to other entries.
 
         Args:
-            patience: How long to wait for the commits.
+            timeout: How long to wait for the commits.
         """
         jobs = [job for job in self.owned() if not job.lost and not job.finished]
         for job in jobs:
@@ -126,13 +137,13 @@
             logging.info("event=job_released job=%s", job.job_id)
 
     def add(self, job: OwnedJob) -> None:
-        """Take a job on."""
+        """Start to run a job."""
         with self._lock:
             self._jobs[job.job_id] = job
         self._wake.set()
 
     def get(self, job_id: str) -> OwnedJob | None:
-        """Return an owned job."""
+        """Return an owned job by its id, or ``None``."""
         with self._lock:
             return self._jobs.get(job_id)
 
@@ -147,19 +158,19 @@
         return frozenset(job.job_id for job in jobs if job.finished is finished and not job.lost)
 
     def told_ended(self, job_ids: Iterable[str]) -> None:
-        """Take a peer's word that jobs have been ended in the store; the store is asked at once."""
+        """Handle a peer's report that jobs were ended in the store, by verifying each at once."""
         for job_id in job_ids:
             job = self.get(job_id)
             if job is not None and job.report_ended():
                 self._submit_verification(job)
 
     def backlog(self) -> Sequence[WaitingGroup]:
-        """Return the items that wait here, for hints."""
+        """Return the waiting items of this entry, grouped for the hints to its peers."""
         wall = wall_millis()
         return group_waiting(each.turn_at(wall) for each in self._waiting)
 
     def take_backlog(self, peer: str, groups: Sequence[WaitingGroup]) -> None:
-        """Take what waits at another entry."""
+        """Record the waiting items that a peer reports."""
         with self._backlog_lock:
             self._backlog.take(peer, groups, self._clock.now())
 
@@ -244,10 +255,10 @@
         self._waiting = [each for each in order if not each.work.running]
 
     def _try_start(self, waiting: WaitingItem) -> bool:
-        """Start an item if there is room; return whether there may be room for the next one."""
+        """Start an item if an upstream has capacity; return whether to try the next item."""
         job, work, route = waiting.job, waiting.work, waiting.route
         if route is None or self._is_past_retention(job, route):
-            self._dead_letter(job, work, "its route is gone" if route is None else "too old")
+            self._dead_letter(job, work, "no batch route" if route is None else "past retention")
             return True
         if not self._may_start_items(job):
             return True
@@ -265,7 +276,7 @@
         return True
 
     def _is_ahead_of_peers(self, waiting: WaitingItem, upstreams: Sequence[Upstream]) -> bool:
-        """Whether there is room for an item that is not left to items of other entries."""
+        """Whether there is capacity for an item beyond what more urgent items of peers need."""
         turn = waiting.turn_at(wall_millis())
         room = self._loads.room_for_batch(upstreams, urgency=waiting.urgency)
         with self._backlog_lock:
@@ -280,7 +291,7 @@
         self._count_item(job, work, "dead", reason, None, None)
 
     def _may_start_items(self, job: OwnedJob) -> bool:
-        """Whether an item of a job may start; if that needs a proof, ask for it."""
+        """Whether items of a job may start; request a verification if the proof is too old."""
         if job.releasing:
             return False
         if (
@@ -293,7 +304,8 @@
         return False
 
     def _submit_verification(self, job: OwnedJob) -> None:
-        # The proof is a call to the store, which may hang; other jobs and commits do not wait.
+        # The verification calls the store, which may hang. Its own pool keeps it from delaying
+        # other jobs and commits.
         with self._lock:
             if self._stopped.is_set() or job.job_id in self._verifying:
                 return
