--- a/packages/node/src/carobspool_node/direct/_job_adoption.py
+++ b/packages/node/src/carobspool_node/direct/_job_adoption.py
@@ -1,7 +1,7 @@
-"""Who owns a job: taking a new one on, and taking over those whose owner is gone.
+"""Assigns jobs to this entry as their owner: new jobs, and jobs whose owner is gone.
 
-Hints tell whose owner is gone; only the conditional write of the new owner counts. A wrong guess
-costs one write that fails.
+Hints between entries show which owners are gone, but only the conditional write of the new owner
+decides. A takeover that rests on a wrong assumption costs one failed write.
 """
 
 from __future__ import annotations
@@ -24,20 +24,21 @@
 from carobspool_node.direct._telemetry import Telemetry
 
 FALLBACK_ADOPTION_DELAY: Millis = 3_000.0
-"""How long a job without an owner is left to the entry that all others would choose: it knows of
+"""How long a job without an owner is left to the entry that it is assigned to. That entry detects
 the loss within a few hints, and its takeover takes three calls to the store."""
 
 _UNRECOVERABLE_FAULTS = (StoreFault.NOT_FOUND, StoreFault.UNREADABLE)
-"""Asking again would cost a call each half second for as long as the record lies there."""
+"""Faults that no retry resolves: it would cost a call to the store each half second for as long as
+the record exists."""
 
 
 class _Orphan(Struct, frozen=True, kw_only=True):
     """A job without an owner.
 
     Attributes:
-        since: When that was noted here.
-        reason: Why, for the log.
-        lost_owner: Who gave it up or was seen to be gone, ``None`` when nobody was.
+        since: When this entry added the orphan.
+        reason: Why the job has no owner, for the log.
+        lost_owner: Identity of the entry that released the job or is gone, ``None`` if unknown.
     """
 
     since: Millis
@@ -46,15 +47,15 @@
 
 
 class JobAdoption:
-    """Takes jobs on for this entry.
+    """Makes this entry the owner of jobs.
 
     Args:
         clock: The process's clock.
         catalog: The jobs in the store.
-        runner: Works on the owned jobs.
+        runner: Runs the owned jobs.
         peers: The other entries.
-        telemetry: Counts takeovers and the time that jobs had no owner.
-        peers_settled: Returns whether this entry has been up for long enough to judge who is gone.
+        telemetry: Counts takeovers and measures how long jobs had no owner.
+        peers_settled: Returns whether this entry has run for long enough to know which peers live.
     """
 
     def __init__(
@@ -78,12 +79,12 @@
         self._orphans_lock = threading.Lock()
 
     def start_owning(self, job: JobInput, stored: StoredProgress, *, requested_at: Millis) -> None:
-        """Work on a job from now on.
+        """Start to run a job that the store shows as owned by this entry.
 
         Args:
-            job: As submitted.
+            job: The job as submitted.
             stored: Its progress in the store.
-            asked: When the store was asked for the write that made this entry the owner.
+            requested_at: When the write that made this entry the owner was sent to the store.
         """
         self._catalog.cache_input(job)
         records = self._catalog.records
@@ -100,13 +101,16 @@
         )
 
     def ensure_owner(self, job_id: str, reason: str, *, lost_owner: str | None = None) -> bool:
-        """Make sure that a stored job has a living owner; return whether that is settled.
+        """Take over a stored job unless it has a live owner.
 
         Args:
             job_id: The job.
-            reason: Why it may have none, for the log.
-            lost_owner: Who is known to work on it no more, so that a process which has just started
-                need not wait until it has heard of all the others.
+            reason: Why the job may have no owner, for the log.
+            lost_owner: Identity of the entry that is known to have stopped working on the job. With
+                it, a process that has just started need not wait for hints of all its peers.
+
+        Returns:
+            Whether nothing is left to do: the job has a live owner, is finished or can have none.
         """
         if self._runner.get(job_id) is not None:
             return True
@@ -123,58 +127,61 @@
         if self._catalog.cache_if_finished(job_id, progress):
             return True
         if not settled and progress.owner != lost_owner:
-            # Another has taken it over already, and this process has not heard of that one yet.
-            # Taken from it, the job's runs are cut and resumed, once for each process that starts.
+            # Another entry has taken the job over, and this process has received no hint from it
+            # yet. Taking the job from it would interrupt the job's runs once for each process that
+            # starts.
             return False
         return self._take_over(job.unwrap(), state.unwrap(), reason)
 
     def add_orphans(
         self, job_ids: Iterable[str], reason: str, *, lost_owner: str | None = None
     ) -> None:
-        """Note jobs whose owner is gone; `adopt_orphans` finds each a new one.
+        """Add jobs whose owner is gone, for `adopt_orphans` to find them a new one.
 
         Args:
             job_ids: The jobs.
-            reason: Why, for the log.
-            lost_owner: Who gave them up or was seen to be gone, ``None`` when nobody was.
+            reason: Why the jobs have no owner, for the log.
+            lost_owner: Identity of the entry that released them or is gone, ``None`` if unknown.
         """
         orphan = _Orphan(since=self._clock.now(), reason=reason, lost_owner=lost_owner)
         with self._orphans_lock:
             for job_id in job_ids:
                 known = self._orphans.get(job_id)
-                # What a start noted in the store before it heard of the owner holds nothing back.
+                # An orphan that was added without a known owner, after a listing at the start, must
+                # not delay a takeover now that the owner is known to be gone.
                 if known is None or (lost_owner is not None and known.lost_owner != lost_owner):
                     self._orphans[job_id] = orphan
 
     def adopt_orphans(self, is_assigned: Callable[[str], bool]) -> None:
-        """Take over orphans; those that cannot be read stay for the next call.
+        """Take over orphans; those whose records cannot be read remain for the next call.
 
         Args:
-            mine: Whether this entry, of all live ones, is to take a job over. After
-                `OTHERS_TURN` it does so anyway, since the chosen one may know nothing of the job.
+            is_assigned: Whether this entry, among all live ones, is assigned to take a job over.
+                After `FALLBACK_ADOPTION_DELAY` it does so anyway, since the assigned entry may not
+                know of the job.
         """
         now = self._clock.now()
         with self._orphans_lock:
             orphans = dict(self._orphans)
         for job_id, orphan in orphans.items():
             if self._has_owner(job_id):
-                settled = True
+                resolved = True
             elif is_assigned(job_id) or now - orphan.since > FALLBACK_ADOPTION_DELAY:
-                settled = self.ensure_owner(job_id, orphan.reason, lost_owner=orphan.lost_owner)
-                if settled and self._runner.get(job_id) is not None:
+                resolved = self.ensure_owner(job_id, orphan.reason, lost_owner=orphan.lost_owner)
+                if resolved and self._runner.get(job_id) is not None:
                     self._telemetry.time("job_orphan", self._clock.now() - orphan.since)
             else:
-                settled = False
-            if settled:
+                resolved = False
+            if resolved:
                 with self._orphans_lock:
                     self._orphans.pop(job_id, None)
 
     def take_over_stored_jobs(self, is_assigned: Callable[[str, str], bool]) -> bool:
-        """Take over open jobs in the store whose owner is gone; return whether it was read.
+        """Take over open jobs in the store whose owner is gone; return whether the store was read.
 
         Args:
-            mine: Whether this entry is to take a job over, by the job's id and its last owner. The
-                other jobs without an owner are noted as orphans.
+            is_assigned: Whether this entry is assigned to take a job over, by the job's id and its
+                last owner. The other jobs without an owner are added as orphans.
         """
         progress = self._catalog.records.list_all(PROGRESS)
         inputs = self._catalog.records.list_all(INPUTS)
@@ -214,7 +221,10 @@
             self.add_orphans([job_id], "recovered")
 
     def _skip_unreadable(self, job_id: str, failure: StoreFailure) -> None:
-        """Go on without a job whose records cannot be read: one must not hold up the others."""
+        """Skip a job whose records cannot be read, so that it does not block the other jobs.
+
+        The job becomes an orphan to be tried again, unless its records are permanently unreadable.
+        """
         if failure.fault is not StoreFault.UNREADABLE:
             self.add_orphans([job_id], "recovered")
 
@@ -222,7 +232,7 @@
         return self._runner.get(job_id) is not None or self._peers.holder_of(job_id) is not None
 
     def _take_over(self, job: JobInput, state: StoredProgress, reason: str) -> bool:
-        """Become the owner of a job unless it has a living one; return whether it has one now."""
+        """Become the owner of a job unless it has a live owner; return whether it has one now."""
         job_id = job.job_id
         progress = state.progress
         if self._is_owned_by_live_peer(progress.owner, job_id):
--- a/packages/node/src/carobspool_node/direct/_jobs.py
+++ b/packages/node/src/carobspool_node/direct/_jobs.py
@@ -1,8 +1,9 @@
-"""Batch jobs as callers see them, at any entry: submit, read, read a body, end.
+"""Operations on batch jobs that callers invoke at any entry: submit, read results, read an item's
+body, end.
 
-A job is accepted by one create in the object store. The entry that accepts it owns it; another
-answers for it by asking the owner, or from the store when the owner cannot be reached. Only the
-store's word makes a job unknown.
+An entry accepts a job with one create in the object store and owns it from then on. Other entries
+serve the job by calling its owner, or from the store when the owner is unreachable. Only the store
+can show that a job does not exist.
 """
 
 from __future__ import annotations
@@ -34,16 +35,24 @@
 from carobspool_node.direct._peers import Peers
 
 READ_PROOF_MAX_AGE: Millis = 700.0
-"""Age of the last proof of ownership beyond which reads are preceded by a new one while others may
-have taken this entry for dead: a reader may see a position elsewhere and must find it here within a
-second."""
+"""Oldest proof of ownership with which results are served without a new verification while other
+entries may have considered this one dead. A reader that saw a position at another entry must find
+it here within a second."""
 PEER_CALL_TIMEOUT: Millis = 900.0
 MAX_END_ATTEMPTS = 4
 RESUBMITTED = "submitted again"
 
 
 class Outcome(StrEnum):
-    """How a call on a job ended."""
+    """How an operation on a job ended.
+
+    Attributes:
+        DONE: The operation took effect.
+        NOT_FOUND: The job or the item does not exist.
+        OVER_QUOTA: The job exceeds the waiting quota of its route.
+        UNAVAILABLE: The store could not be reached and nothing was done.
+        UNKNOWN: Whether the operation took effect is unknown.
+    """
 
     DONE = "done"
     NOT_FOUND = "not_found"
@@ -53,7 +62,13 @@
 
 
 class ResultsPage(Struct, frozen=True, kw_only=True):
-    """Results of a job from one position on."""
+    """Results of a job after one position.
+
+    Attributes:
+        total: Number of items of the job.
+        after: Number of results that precede this page.
+        results: The results.
+    """
 
     total: int
     after: int
@@ -61,7 +76,16 @@
 
 
 class Jobs:
-    """Calls on batch jobs."""
+    """Operations on batch jobs.
+
+    Args:
+        clock: The process's clock.
+        catalog: The jobs in the store.
+        runner: Runs the jobs that this entry owns.
+        adoption: Makes this entry the owner of jobs.
+        peers: The other entries.
+        caller: Calls the other entries.
+    """
 
     def __init__(
         self,
@@ -80,12 +104,13 @@
         self._caller = caller
 
     def submit(self, job: JobInput, route: Route, *, unowned: str | None = None) -> Outcome:
-        """Accept a job, once however often it comes.
+        """Accept a job; repeated submissions of the same job have no further effect.
 
         Args:
-            job: The job; its owner and time are set here.
-            route: Its route.
-            unowned: Name that it had if it was accepted before there were organisations.
+            job: The job. Its owner and submission time are set here.
+            route: The route of the job.
+            unowned: Id under which the job is stored if it was accepted before organisations were
+                declared.
         """
         job_id = job.job_id
         if self._is_known_locally(job_id):
@@ -112,9 +137,13 @@
         return Outcome.UNAVAILABLE
 
     def unowned(self, job_id: str, organisation: str | None) -> str | None:
-        """Return the name of a stored job of nobody with this id, ``None`` when there is none.
+        """Return the qualified id of a stored job with this id that belongs to no organisation.
 
-        Such jobs were accepted where no organisations were declared, and any key reaches them.
+        Such jobs were accepted while no organisations were declared, and any API key may access
+        them.
+
+        Returns:
+            The qualified id, ``None`` when there is no such job or no organisation is given.
         """
         if not organisation:
             return None
@@ -122,7 +151,11 @@
         return None if isinstance(self._read_input(name), Outcome) else name
 
     def results(self, job_id: str, after: int, wait: Millis) -> ResultsPage | Outcome:
-        """Return results from a position on, waiting up to ``wait`` for the first."""
+        """Return the results after a position, waiting up to ``wait`` for the first.
+
+        The sources are tried in order: this entry if it owns the job, the cache of finished jobs,
+        the owner, and the store.
+        """
         until = self._clock.now() + wait
         page = self.own_results(job_id, after, wait)
         if page is not None:
@@ -138,7 +171,7 @@
         return self._results_from_store(job_id, after)
 
     def own_results(self, job_id: str, after: int, wait: Millis) -> ResultsPage | None:
-        """Return results of a job that this entry owns, ``None`` when it does not."""
+        """Return results of a job that this entry owns, or ``None`` if it does not own the job."""
         job = self._runner.get(job_id)
         if job is None or job.lost:
             return None
@@ -160,7 +193,7 @@
         return Outcome.NOT_FOUND
 
     def end(self, job_id: str) -> Outcome:
-        """End a job: nothing of it starts any more."""
+        """End a job, so that no further items of it start."""
         own = self.end_own(job_id)
         if own is not None:
             return own
@@ -170,8 +203,8 @@
         if self._end_at_peer(peer, job_id):
             return Outcome.DONE
         outcome = self._end_in_store(job_id)
-        # The owner may have ended the job and be about to write that: a caller that is told that
-        # nothing was done waits for results that never come.
+        # The owner may have ended the job in memory and may still write the end to the store. A
+        # caller that is told UNAVAILABLE would wait for results that never come.
         return Outcome.UNKNOWN if outcome is Outcome.UNAVAILABLE else outcome
 
     def _end_at_peer(self, peer: Peer, job_id: str) -> bool:
@@ -183,7 +216,7 @@
         return status == 200
 
     def end_own(self, job_id: str) -> Outcome | None:
-        """End a job that this entry owns; ``None`` when it does not own it."""
+        """End a job that this entry owns; return ``None`` if it does not own the job."""
         job = self._runner.get(job_id)
         if job is None or job.lost:
             return None
@@ -194,7 +227,8 @@
                 return Outcome.DONE
             if job.lost:
                 return None
-        # It is in force here and will be committed, so it cannot be said that it was not done.
+        # The end has taken effect in memory and a later commit writes it, so that UNAVAILABLE would
+        # be wrong.
         return Outcome.UNKNOWN
 
     def _is_proven(self, job: OwnedJob) -> bool:
@@ -212,7 +246,7 @@
         )
 
     def _is_known_locally(self, job_id: str) -> bool:
-        """Whether a job is known here without a call to the store."""
+        """Whether a job is known without a call to the store."""
         return (
             self._runner.get(job_id) is not None
             or self._peers.holder_of(job_id) is not None
@@ -254,11 +288,11 @@
         return job.unwrap() if is_successful(job) else _failure_outcome(job.failure())
 
     def _end_in_store(self, job_id: str) -> Outcome:
-        """End a job whose owner is unknown or cannot be asked.
+        """End a job in the store because its owner is unknown or unreachable.
 
-        Somebody may own it all the same, or be taking it over just now. The hints of this entry
-        tell all others for some seconds. An owner that does not hear them has a sign of separation
-        and asks the store before it starts anything.
+        Another entry may own the job nevertheless, or may be taking it over. The hints of this
+        entry report the end to all peers for some seconds. An owner that receives no hints detects
+        the loss of contact and verifies its ownership before it starts further items.
         """
         job = self._read_input(job_id)
         if isinstance(job, Outcome):
