--- a/packages/node/src/carobspool_node/direct/_job_catalog.py
+++ b/packages/node/src/carobspool_node/direct/_job_catalog.py
@@ -1,7 +1,7 @@
-"""Jobs as the object store holds them, with what is remembered of them here.
+"""Reads jobs from the object store through bounded caches.
 
-The input of a job never changes, nor does its progress once every item has a result; both are kept
-in memory within bounds, so that a reader costs no call to the store.
+The input of a job never changes, nor does its progress once every item has a result. Both are
+cached, so that serving a reader usually needs no call to the store.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 INPUT_CACHE_BYTES = 32 * 1024 * 1024
 FINISHED_CACHE_BYTES = 16 * 1024 * 1024
 ITEM_OVERHEAD_BYTES = 500
-"""What an item takes beside its body: ids, headers and the objects that hold them."""
+"""Memory of an item besides its body: ids, headers and the objects that hold them."""
 PROGRESS_OVERHEAD_BYTES = 1_000
 
 
@@ -25,7 +25,7 @@
     """Reads jobs through caches.
 
     Args:
-        records: The records in the store.
+        records: Access to the job records in the store.
     """
 
     def __init__(self, records: JobRecords) -> None:
@@ -35,20 +35,23 @@
 
     @property
     def records(self) -> JobRecords:
-        """The records in the store."""
+        """Access to the job records in the store, without caches."""
         return self._records
 
     def has_cached_input(self, job_id: str) -> bool:
-        """Whether the input of a job is in memory."""
+        """Whether the input of a job is cached."""
         return self._inputs.get(job_id) is not None
 
     def cache_input(self, job: JobInput) -> None:
-        """Remember the input of a job."""
+        """Add the input of a job to the cache."""
         size = sum(len(item.body) + ITEM_OVERHEAD_BYTES for item in job.items)
         self._inputs.put(job.job_id, job, size)
 
     def read_input(self, job_id: str) -> Result[JobInput, StoreFailure]:
-        """Return a job as submitted; ``NOT_FOUND`` only when the store says so."""
+        """Return a job as submitted, from the cache or the store.
+
+        The failure is ``NOT_FOUND`` only if the store reports that the job does not exist.
+        """
         job = self._inputs.get(job_id)
         if job is not None:
             return Success(job)
@@ -58,11 +61,11 @@
         return read
 
     def cached_finished(self, job_id: str) -> JobProgress | None:
-        """Return the progress of a job all of whose items have results, if it is in memory."""
+        """Return the cached progress of a job whose items all have results, else ``None``."""
         return self._finished.get(job_id)
 
     def current_progress(self, job: JobInput) -> Result[StoredProgress, StoreFailure]:
-        """Return the progress of a job, also when nothing of it is committed yet."""
+        """Return the stored progress of a job, or its initial progress if none is committed yet."""
         read = self._records.read_progress(job.job_id)
         if is_successful(read):
             return read
@@ -71,7 +74,10 @@
         return Failure(read.failure())
 
     def cache_if_finished(self, job_id: str, progress: JobProgress) -> bool:
-        """Remember a progress that changes no more; return whether nothing is left to do."""
+        """Cache the progress if every item has a result; return whether the job needs no owner.
+
+        An ended job needs none either, but is not cached.
+        """
         if len(progress.results) < progress.total:
             return progress.ended
         size = sum(len(each.text) for each in progress.results) + PROGRESS_OVERHEAD_BYTES
@@ -80,6 +86,6 @@
 
 
 def initial_progress(job: JobInput) -> StoredProgress:
-    """Return the progress of a job of which nothing is committed yet."""
+    """Return the progress of a job before its first commit."""
     progress = JobProgress(owner=job.owner, total=len(job.items))
     return StoredProgress(progress=progress, segments=(), version=0)
--- a/packages/node/src/carobspool_node/direct/_job_records.py
+++ b/packages/node/src/carobspool_node/direct/_job_records.py
@@ -1,8 +1,8 @@
-"""Jobs in the object store: records that may be longer than one object.
+"""Job records in the object store, which may be longer than one object.
 
-A long record is cut into pieces, which are written first; the object that names them is written
-last, so that a record is there whole or not at all. Pieces that no object names are left behind
-when a process dies in between; they are never read.
+A long record is split into pieces. They are written first and the object that names them last, so
+that a record exists completely or not at all. A process that dies in between leaves pieces that no
+object names; such pieces are never read.
 """
 
 from __future__ import annotations
@@ -37,16 +37,22 @@
 PROGRESS = "progress/"
 PIECES = "pieces/"
 MAX_RECORD_SHARE = 0.4
-"""Share of the store's value limit that a record or a piece may take: its text is escaped once more
-inside the object, which at worst doubles it, and the object has some fields of its own."""
+"""Share of the store's value limit that a record or a piece may occupy. Its text is escaped again
+inside the object, which doubles it in the worst case, and the object has further fields."""
 
 MAX_PIECES = 10_000
-"""Pieces that one record may name: 4 GB of text at the users' limit of a value."""
+"""Pieces that one record may name: 4 GB of text at the users' limit for the size of a value."""
 MAX_PIECE_NAME = 200
 
 
 class Segment(Struct, frozen=True, kw_only=True):
-    """Results that were moved out of a job's progress; they never change."""
+    """Results that were moved out of a job's progress into pieces; they never change.
+
+    Attributes:
+        name: Name that the pieces share.
+        pieces: Number of pieces.
+        results: Number of results in the segment.
+    """
 
     name: str
     pieces: int
@@ -54,11 +60,11 @@
 
 
 class Listing(Struct, frozen=True, kw_only=True):
-    """Every object under a prefix.
+    """All objects under a prefix.
 
     Attributes:
-        objects: By their names.
-        complete: Whether the names of all objects could be read.
+        objects: The objects by name, without the prefix.
+        complete: Whether the names of all objects were readable.
     """
 
     objects: dict[str, StoredObject]
@@ -66,7 +72,13 @@
 
 
 class StoredProgress(Struct, frozen=True, kw_only=True):
-    """A job's progress with what is needed to replace it."""
+    """A job's progress with the data needed to replace it in the store.
+
+    Attributes:
+        progress: The progress with all results.
+        segments: The segments that hold its first results.
+        version: Version of the stored object; 0 if there is none yet.
+    """
 
     progress: JobProgress
     segments: tuple[Segment, ...]
@@ -78,8 +90,8 @@
 
     Args:
         store: The object store.
-        value_limit: Longest object of the store, in bytes.
-        bad: Tells of records that are none.
+        value_limit: Size limit of an object in the store, in bytes.
+        bad_records: Logs and counts unusable records; they are only logged without it.
     """
 
     def __init__(
@@ -90,7 +102,7 @@
         self._limit = int(value_limit * MAX_RECORD_SHARE)
 
     def create_input(self, job: JobInput) -> Result[StoredObject, StoreFailure]:
-        """Write a job as submitted; its creation is the acceptance."""
+        """Write a job as submitted; the job is accepted once this create succeeds."""
         value = job_to_json(job)
         text = json.dumps(value)
         if len(text) > self._limit:
@@ -109,7 +121,10 @@
         return self.decode_input(stored.unwrap())
 
     def decode_input(self, stored: StoredObject) -> Result[JobInput, StoreFailure]:
-        """Return the job that an object holds or names; ``UNREADABLE`` when it is none."""
+        """Return the job that an object contains or whose pieces it names.
+
+        The failure is ``UNREADABLE`` if the record is not a valid job.
+        """
         try:
             value = stored.value
             if isinstance(value, dict) and "pieces" in value:
@@ -125,16 +140,16 @@
         return Success(job)
 
     def read_progress(self, job_id: str) -> Result[StoredProgress, StoreFailure]:
-        """Read a job's progress; ``NOT_FOUND`` when nothing is committed yet."""
+        """Read a job's progress; the failure is ``NOT_FOUND`` if none is committed yet."""
         stored = self._store.get(PROGRESS + job_id)
         if not is_successful(stored):
             return Failure(stored.failure())
         return self.decode_progress(stored.unwrap())
 
     def decode_progress(self, stored: StoredObject) -> Result[StoredProgress, StoreFailure]:
-        """Return the progress that an object holds, with the results it names.
+        """Return the progress that an object contains, with the results in its segments.
 
-        ``UNREADABLE`` when it is none.
+        The failure is ``UNREADABLE`` if the record is not a valid progress.
         """
         try:
             tail = progress_from_json(stored.value)
@@ -164,9 +179,9 @@
 
         Args:
             job_id: The job.
-            progress: All of it.
-            version: What it replaces; 0 when there is none yet.
-            segments: Where its first results lie already.
+            progress: The whole progress.
+            version: Version of the stored progress to replace; 0 if there is none yet.
+            segments: Segments that already hold the first results.
         """
         kept = tuple(segments)
         value = _stored_value(progress, kept)
@@ -179,7 +194,8 @@
             kept = (*kept, Segment(name=name, pieces=count, results=len(value["results"])))
             value = _stored_value(progress, kept)
         if progress.parts and len(json.dumps(value)) > self._limit:
-            # Parts only save work after a loss; results have to fit.
+            # Parts of unfinished items only save work after the loss of the owner. They are
+            # dropped if necessary; the results have to fit.
             logging.info("event=parts_left_out job=%s parts=%d", job_id, len(progress.parts))
             value["parts"] = {}
         key = PROGRESS + job_id
@@ -193,7 +209,11 @@
         return Success(stored)
 
     def remove(self, stored: StoredObject) -> StoreFailure | None:
-        """Remove a record that is unchanged, with its pieces; return what prevented it."""
+        """Remove a record and its pieces if the record is unchanged.
+
+        Returns:
+            The failure that prevented the removal of the record, ``None`` if it was removed.
+        """
         removed = self._store.delete(stored.key, version=stored.version)
         if not is_successful(removed):
             return removed.failure()
@@ -205,14 +225,14 @@
     def _remove_piece(self, key: str) -> None:
         piece = self._store.get(key)
         if not is_successful(piece):
-            logging.info("event=piece_left key=%s fault=%s", key, piece.failure().fault)
+            logging.info("event=piece_not_removed key=%s fault=%s", key, piece.failure().fault)
             return
         removed = self._store.delete(key, version=piece.unwrap().version)
         if not is_successful(removed):
-            logging.info("event=piece_left key=%s fault=%s", key, removed.failure().fault)
+            logging.info("event=piece_not_removed key=%s fault=%s", key, removed.failure().fault)
 
     def list_all(self, prefix: str) -> Result[Listing, StoreFailure]:
-        """Return every object under a prefix, by its name."""
+        """Return all objects under a prefix, by name."""
         found: dict[str, StoredObject] = {}
         unreadable = 0
         after = ""
@@ -248,10 +268,10 @@
             self._bad_records.mended(key)
 
     def _read_pieces(self, name: str, count: int) -> Result[str, StoreFailure]:
-        """Return the text of a long record.
+        """Return the text of a long record, joined from its pieces.
 
         Raises:
-            UnusableRecordError: A piece of it is none.
+            UnusableRecordError: A piece is missing or malformed.
         """
         texts: list[str] = []
         for number in range(count):
@@ -260,7 +280,8 @@
             if not is_successful(read):
                 failure = read.failure()
                 if failure.fault is StoreFault.NOT_FOUND:
-                    # Pieces are written before the object that names them and removed after it.
+                    # Pieces are written before the object that names them and removed after it, so
+                    # that a missing piece means a damaged record.
                     raise _record_error(key, "no such object", "a piece of a record")
                 return Failure(failure)
             texts.append(_piece_text(key, read.unwrap()))
@@ -309,7 +330,10 @@
 
 
 def _named_pieces(value: Json) -> list[tuple[str, int]]:
-    """Return the pieces that a record names; none of a record that is none."""
+    """Return the name and number of the pieces that a record references.
+
+    An unusable record yields none, and its pieces stay in the store.
+    """
     try:
         if isinstance(value, dict) and "pieces" in value:
             named = read_record(_LongInput, value).pieces
@@ -317,7 +341,7 @@
         if isinstance(value, dict):
             return [(each.name, each.pieces) for each in _segments(value)]
     except UnusableRecordError as error:
-        logging.warning("event=pieces_left reason=%r", shown(str(error), 300))
+        logging.warning("event=pieces_not_removed reason=%r", shown(str(error), 300))
     return []
 
 
--- a/packages/node/src/carobspool_node/direct/_job_recovery.py
+++ b/packages/node/src/carobspool_node/direct/_job_recovery.py
@@ -1,8 +1,9 @@
-"""Finds a new owner for the jobs of processes that are gone.
+"""Finds new owners for the jobs of entries that are gone.
 
-Hints name the jobs of each entry, so a loss is known at once. They are datagrams, though, and a job
-that was accepted in the last moments of an entry may have been named to nobody. What the store
-holds is therefore listed when an entry starts, and when one does not come back.
+The hints of an entry name its jobs, so that its peers know at once which jobs have lost their
+owner. Hints are datagrams, however, and a job that an entry accepted shortly before its end may
+never have been named in a hint that arrived. Entries therefore list the jobs in the store when they
+start, and when a peer does not come back.
 """
 
 from __future__ import annotations
@@ -22,25 +23,29 @@
 from carobspool_node.direct._peers import Peers
 
 SETTLE_TIME: Millis = DEAD_AFTER + 300.0
-"""How long after its start an entry judges nobody as gone; each peer has sent full hints then."""
+"""Time after its start during which an entry considers no peer as gone. By its end, each peer has
+sent full hints."""
 ORPHAN_INTERVAL_S = 0.5
-"""Time between two tries to find an owner for jobs that have none, while the store is away."""
+"""Time between two attempts to find owners for orphans, for instance while the store is
+unreachable."""
 RETRY_PAUSE_S, RETRY_JITTER_S = 0.3, 0.3
-"""Pause between two tries to list the jobs; drawn, since all entries try after an outage."""
+"""Delay between two attempts to list the jobs, randomised because all entries retry after an outage
+of the store."""
 ORPHAN_SEARCH_DUTY = "search"
 
 
 class JobRecovery:
-    """Takes over what processes that are gone have left.
+    """Takes over the jobs of entries that are gone.
 
     Args:
         clock: The process's clock.
-        adoption: Takes jobs on for this entry.
-        runner: Works on the owned jobs.
+        adoption: Makes this entry the owner of jobs.
+        runner: Runs the owned jobs.
         peers: The other entries.
         node: Name of this entry.
-        leaving: Set when this process is to stop.
-        has_duty: Whether this entry, of all that reach the store, does a duty for all of them.
+        leaving: Set when this process shuts down.
+        has_duty: Returns whether this entry is the one, among those that reach the store, that
+            performs the named duty for all.
     """
 
     def __init__(
@@ -66,7 +71,7 @@
         self._search_requested = threading.Event()
 
     def start(self, *, first_start: bool) -> None:
-        """Start to work.
+        """Start the threads that take jobs over.
 
         Args:
             first_start: Whether the whole system starts for the first time, so that the store can
@@ -77,28 +82,32 @@
         threading.Thread(target=self._adopt_orphans, name="orphans", daemon=True).start()
 
     def peers_settled(self) -> bool:
-        """Whether this entry has been up for long enough to judge who is gone."""
+        """Whether this entry has run for long enough to know which peers live."""
         return self._clock.now() - self._started >= SETTLE_TIME
 
     def peer_lost(self, peer: Peer) -> None:
-        """Find owners for the jobs that a peer has named in its hints."""
+        """Find new owners for the open jobs that a lost peer has named in its hints."""
         reason = f"lost {peer.identity}"
         self._adoption.add_orphans(peer.open_jobs, reason, lost_owner=peer.identity)
         self._wake.set()
 
     def peer_gone(self, peer: Peer) -> None:
-        """Search the store for jobs that a peer, which does not come back, has named to nobody."""
+        """Request a search of the store for jobs that a peer owned without having named them.
+
+        Called when the peer does not come back.
+        """
         logging.info("event=peer_gone peer=%s", peer.identity)
         self._search_requested.set()
 
     def _recover_after_start(self) -> None:
-        """Take over what a start of the whole system left without an owner.
+        """Take over stored jobs that have no owner after the start of this entry.
+
+        Jobs of an earlier process of this node certainly have no owner and are taken over at once.
+        Their items would otherwise not run until the entries know which peers live. Jobs of other
+        entries are added as orphans and get an owner once that is known.
 
-        What an earlier process of this node owned has no owner for certain, and is taken back at
-        once: its items would otherwise stand still until the entries know who else lives. What
-        others owned is noted, and found an owner once it is known who lives. One entry then lists
-        the jobs again for all: after a loss of everything each listing is most of what the store
-        holds, and all entries would ask for it at once.
+        A single entry then lists the jobs again on behalf of all. After all entries were lost, a
+        listing covers most of the store, and every entry would request one at the same time.
         """
         self._recover_all(lambda job_id, owner: self._was_owned_by_node(owner))
         self._leaving.wait(max(0.0, SETTLE_TIME - (self._clock.now() - self._started)) / 1000.0)
@@ -131,7 +140,10 @@
                 logging.exception("event=takeover_failed")
 
     def _search_if_requested(self) -> None:
-        """List the store for jobs without an owner, once for each entry that is gone."""
+        """Search the store for jobs without an owner, once after each peer that is gone.
+
+        Only the entry with the duty searches; a failed search is requested again.
+        """
         if not self._search_requested.is_set():
             return
         self._search_requested.clear()
--- a/packages/node/src/carobspool_node/direct/_job_retention.py
+++ b/packages/node/src/carobspool_node/direct/_job_retention.py
@@ -1,9 +1,10 @@
-"""Removal of the records of jobs whose results need not be readable any more.
+"""Removes the records of jobs whose results no longer have to be readable.
 
-Without it the store grows with every job that was ever accepted. One entry looks for all of them.
-A job goes once it has been seen finished for the whole retention by the clock of this process, not
-by the time of its submission: a host's time of day may jump, and a job that still has readers would
-be gone. An entry that has just started therefore removes nothing for that long.
+Without the removal the store would grow with every accepted job. One entry sweeps on behalf of all.
+A job is removed once it has been seen finished for the whole retention, measured by the clock of
+this process and not from the submission time: the wall clock of a host may jump, and jobs that
+still have readers would be removed. An entry that has just started therefore removes nothing during
+its first retention period.
 """
 
 from __future__ import annotations
@@ -18,16 +19,16 @@
 
 
 class JobRetention:
-    """Looks for finished jobs and removes their records.
+    """Periodically removes the records of finished jobs.
 
-    A sweep lists every job, with its input. There is one in each retention: a job stays for twice
-    as long at most, and two listings in two minutes cost next to nothing.
+    A sweep lists all jobs with their inputs, and runs once per retention. A finished job is thus
+    kept for at most twice the retention, and two listings in two minutes cost almost nothing.
 
     Args:
         clock: The process's clock.
         records: The records in the store.
         retention: How long results stay readable after a job was seen finished, in milliseconds.
-        on_duty: Returns whether this entry does it for all.
+        on_duty: Returns whether this entry is the one that sweeps on behalf of all.
     """
 
     def __init__(
@@ -45,7 +46,11 @@
         self._next_sweep: Millis = clock.now() + retention
 
     def sweep_if_due(self) -> int:
-        """Remove what has been finished for long enough, if it is time; return the jobs removed."""
+        """Remove jobs whose retention is over, if a sweep is due.
+
+        Returns:
+            The number of jobs removed.
+        """
         now = self._clock.now()
         if now < self._next_sweep:
             return 0
@@ -56,8 +61,8 @@
         return self._sweep(now)
 
     def _sweep(self, now: Millis) -> int:
-        # Progress is listed first: every job in it had its input before, so that progress whose
-        # input is missing from the later listing has really lost it.
+        # Progress is listed first. Each input is written before its progress, so that an input
+        # that is missing from the later listing has been removed.
         progress = self._records.list_all(PROGRESS)
         inputs = self._records.list_all(INPUTS)
         if not is_successful(progress) or not is_successful(inputs):
@@ -87,7 +92,10 @@
         return removed
 
     def _is_input_missing(self, job_id: str, inputs: Listing) -> bool:
-        """Whether progress has no input; one whose name cannot be read may be there."""
+        """Whether the input of a job is missing.
+
+        An incomplete listing does not show it: the input may be among the unreadable names.
+        """
         return inputs.complete and job_id not in inputs.objects
 
     def _is_finished(self, stored: StoredObject) -> bool:
@@ -98,10 +106,11 @@
         return progress.ended or len(progress.results) == progress.total
 
     def _remove(self, job: StoredObject | None, progress: StoredObject) -> bool:
-        """Remove a job's records; the input goes first.
+        """Remove a job's records, the input first; return whether they are gone.
 
-        Progress without an input is found and removed by a later sweep. An input without progress
-        would look like a job that nobody has begun, and all of it would run again.
+        If the second removal fails, a later sweep finds the progress without an input and removes
+        it. An input without progress would look like a job that has not been started, and all its
+        items would run again.
         """
         for stored in (job, progress):
             if stored is None:
