--- a/packages/node/tests/test_direct_foreign_jobs.py
+++ b/packages/node/tests/test_direct_foreign_jobs.py
@@ -1,4 +1,4 @@
-"""Job records of other writers among proper ones: recovery, removal and single reads."""
+"""Recovery, removal and reads of jobs while the store also holds invalid job records."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
 
 
 class _Runner:
-    """Takes jobs on and runs nothing."""
+    """Accepts jobs and runs no items."""
 
     def __init__(self) -> None:
         self.jobs: dict[str, object] = {}
@@ -68,7 +68,7 @@
 
 
 class _Peers:
-    """Nobody else lives."""
+    """No other entry is alive."""
 
     identity = "e1#2"
 
@@ -79,7 +79,7 @@
         return None
 
     def announce(self) -> None:
-        """Nobody hears it."""
+        """Do nothing, since there is no peer."""
 
 
 class _System:
@@ -113,9 +113,9 @@
 
 
 def test_bad_records_stop_neither_recovery_nor_removal(system: _System) -> None:
-    """Everything was killed, and among the jobs in the store lie records of other writers. The
-    entries must take the proper jobs over and remove the finished ones; a job whose progress cannot
-    be read must not be taken for one that nobody has begun, for it would run again."""
+    """After a restart of all entries, the store holds valid jobs and invalid records of other
+    writers. Recovery must take over the valid jobs, and the removal must delete the finished ones.
+    A job with unreadable progress must not count as unstarted, since it would run again."""
     for job_id in ("aaa", "zzz"):
         assert is_successful(system.records.create_input(_job(job_id)))
     system.write(INPUTS, BAD_INPUTS)
@@ -144,8 +144,8 @@
 
 
 @pytest.mark.parametrize("value", BAD_INPUTS, ids=repr)
-def test_a_bad_input_is_told_and_settled(system: _System, value: Json) -> None:
-    """No entry can work on it, so none asks the store for it again and again."""
+def test_bad_input_is_unreadable_and_not_retried(system: _System, value: Json) -> None:
+    """No entry can run such a job, and retries would read the record from the store repeatedly."""
     assert is_successful(system.store.create(f"{INPUTS}j", value))
     read = system.records.read_input("j")
     assert not is_successful(read)
@@ -155,7 +155,7 @@
 
 
 @pytest.mark.parametrize("value", BAD_PROGRESS, ids=repr)
-def test_a_bad_progress_is_told_and_settled(system: _System, value: Json) -> None:
+def test_bad_progress_is_unreadable_and_not_retried(system: _System, value: Json) -> None:
     assert is_successful(system.records.create_input(_job("j")))
     assert is_successful(system.store.create(f"{PROGRESS}j", value))
     read = system.records.read_progress("j")
@@ -165,14 +165,14 @@
     assert system.runner.jobs == {}
 
 
-def test_progress_of_a_job_whose_input_is_not_readable_by_name_stays(system: _System) -> None:
-    """The listing of inputs leaves out what has no readable name. Progress without an input is
-    removed after a time, but here the input may be there."""
+def test_progress_is_kept_when_names_of_inputs_are_unreadable(system: _System) -> None:
+    """The listing of inputs omits objects with unreadable names. Progress without an input is
+    removed after the retention, but here the input may exist."""
     assert is_successful(system.records.create_input(_job("j")))
     progress = JobProgress(owner="e#1", total=1)
     assert is_successful(system.records.write_progress("j", progress, version=0))
-    hiding = _HidingStore(system.store)
-    records = JobRecords(hiding, 10_000)  # type: ignore[arg-type]
+    store = _UnreadableNamesStore(system.store)
+    records = JobRecords(store, 10_000)  # type: ignore[arg-type]
     retention = JobRetention(system.clock, records, RETENTION, on_duty=lambda: True)
     for sweep in (1, 2, 3):
         system.clock.at = sweep * (RETENTION + 1.0)
@@ -180,8 +180,8 @@
     assert is_successful(system.records.read_progress("j"))
 
 
-class _HidingStore:
-    """Cannot read the name of any input."""
+class _UnreadableNamesStore:
+    """A store whose listings can read the name of no input."""
 
     def __init__(self, store: MemoryStore) -> None:
         self._store = store
--- a/packages/node/tests/test_direct_job_adoption.py
+++ b/packages/node/tests/test_direct_job_adoption.py
@@ -1,4 +1,4 @@
-"""What an entry that has just started takes over."""
+"""Takeover of jobs by an entry that has just started."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass
 class _Runner:
-    """Keeps the jobs that were taken on and works on none."""
+    """Records the added jobs and runs no items."""
 
     jobs: dict[str, OwnedJob] = field(default_factory=dict)
 
@@ -28,22 +28,22 @@
 
 
 class _NoPeers:
-    """Nobody has been heard yet."""
+    """No hint of another entry has arrived yet."""
 
     identity = "e2#1"
 
     def holder_of(self, job_id: str) -> None:
-        """Return nobody."""
+        """Return no peer."""
 
     def by_identity(self, identity: str) -> None:
-        """Return nobody."""
+        """Return no peer."""
 
     def announce(self) -> None:
-        """Tell nobody."""
+        """Do nothing, since there is no peer."""
 
 
-def _start_beside(job_owner: str) -> tuple[JobAdoption, _Runner]:
-    """Return an entry that has just started, and a stored job of somebody in the store."""
+def _start_with_stored_job(job_owner: str) -> tuple[JobAdoption, _Runner]:
+    """Return the adoption and runner of an entry that has just started, with a job in the store."""
     records = JobRecords(MemoryStore(MemoryObjects(), "e2"), 1_048_576)
     item = JobItem(item_id="i", path="/", headers={}, body=b"", tokens=1)
     given = JobInput(job_id="j", host="h", path="/", owner=job_owner, submitted=0.0, items=(item,))
@@ -60,11 +60,11 @@
     return adoption, runner
 
 
-def test_a_job_that_may_have_an_owner_is_taken_over_once_its_owner_says_it_has_none() -> None:
-    """An entry starts again and lists the store: a job there may have an owner that it has not
-    heard of yet, so it waits. The owner then tells that it gave the job up. Its first note of the
-    job must not hold it back: the items stood still for 2.2 s until another process had started."""
-    adoption, runner = _start_beside("e1#1")
+def test_listed_job_is_taken_over_once_its_owner_releases_it() -> None:
+    """A restarted entry lists a job whose owner it has received no hint from, so it waits. The
+    owner then reports that it has released the job. The orphan added by the listing must not delay
+    the takeover: the items did not run for 2.2 s, until another process had started."""
+    adoption, runner = _start_with_stored_job("e1#1")
     adoption.add_orphans(["j"], "recovered")
     adoption.adopt_orphans(lambda job_id: True)
     assert not runner.jobs
@@ -73,11 +73,11 @@
     assert set(runner.jobs) == {"j"}
 
 
-def test_a_job_that_another_has_taken_over_is_left_to_it() -> None:
-    """An owner leaves and names the jobs that it gave up in all its hints until it is gone. Another
-    entry takes them over. Entries that start then hear of the first one before they hear of the
-    second, and took each job from its living owner, one after the other: its runs were cut."""
-    adoption, runner = _start_beside("e3#1")
+def test_job_is_not_taken_from_a_new_owner_that_is_still_unknown() -> None:
+    """An owner that shuts down names its released jobs in its hints until it exits, and another
+    entry takes them over. Entries that start meanwhile may receive hints of the first owner before
+    those of the second. Each of them took the jobs from their live owner and interrupted runs."""
+    adoption, runner = _start_with_stored_job("e3#1")
     adoption.add_orphans(["j"], "lost e1#1", lost_owner="e1#1")
     adoption.adopt_orphans(lambda job_id: True)
     assert not runner.jobs
--- a/packages/node/tests/test_direct_job_runner.py
+++ b/packages/node/tests/test_direct_job_runner.py
@@ -1,4 +1,4 @@
-"""Which job's items an entry starts first, judged by the order in which runs begin."""
+"""Order in which an entry starts the items of its jobs."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class _Runs:
-    """Stands in for runs at an upstream: notes their order and ends them at once."""
+    """Stands in for runs at an upstream: records their order and completes each at once."""
 
     def __init__(self) -> None:
         self.order: list[str] = []
@@ -76,9 +76,10 @@
     return make(job, StoredProgress(progress=progress, segments=(), version=0))
 
 
-def test_jobs_run_by_when_they_are_due_and_not_by_when_they_came_here() -> None:
-    """Three jobs wait for one place. One is new, one has a nearer target, one was submitted long
-    before and has just been taken over from an entry that died: it goes first."""
+def test_jobs_run_in_order_of_due_time_and_not_of_arrival() -> None:
+    """Three jobs wait for one free slot. One is new, one has an earlier completion target, and one
+    was submitted long before and has just been taken over from a dead entry. The last runs first.
+    """
     clock = boottime_clock()
     records = JobRecords(MemoryStore(MemoryObjects(), "e"), 1_048_576)
     runs = _Runs()
--- a/packages/node/tests/test_direct_owned_job.py
+++ b/packages/node/tests/test_direct_owned_job.py
@@ -1,4 +1,4 @@
-"""What an owner knows of a job that another entry has changed in the store."""
+"""Owned jobs whose records another entry has changed in the store."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
 
 
 def _change(records: JobRecords, **changes: object) -> None:
-    """Write the progress as another entry does."""
+    """Write the progress to the store, as another entry would."""
     stored = records.read_progress("j").unwrap()
     progress = replace(stored.progress, **changes)  # type: ignore[arg-type]
     written = records.write_progress("j", progress, version=stored.version)
@@ -73,8 +73,8 @@
     return run
 
 
-def test_a_proof_shows_that_the_job_was_ended(records: JobRecords, job: OwnedJob) -> None:
-    """Ended jobs keep their owner, so the owner's name alone does not tell."""
+def test_verification_detects_that_the_job_was_ended(records: JobRecords, job: OwnedJob) -> None:
+    """Ended jobs keep their owner, so that the owner's name alone does not show the end."""
     run = _run(job)
     _change(records, ended=True)
     assert job.verify()
@@ -83,7 +83,7 @@
     assert run.cancellation.cancelled
 
 
-def test_a_conflict_of_a_commit_cancels_what_runs_for_an_ended_job(
+def test_commit_conflict_cancels_the_runs_of_an_ended_job(
     records: JobRecords, job: OwnedJob
 ) -> None:
     run = _run(job)
@@ -93,14 +93,16 @@
     assert run.cancellation.cancelled
 
 
-def test_a_proof_shows_that_the_job_was_taken_over(records: JobRecords, job: OwnedJob) -> None:
+def test_verification_detects_that_the_job_was_taken_over(
+    records: JobRecords, job: OwnedJob
+) -> None:
     _change(records, owner="e2#1")
     assert not job.verify()
     assert job.lost
 
 
-def test_a_proof_from_before_a_doubt_never_becomes_good(job: OwnedJob, clock: _Clock) -> None:
-    """The doubt is long over, but the job may have been ended or taken over during it."""
+def test_proof_from_before_a_loss_of_contact_stays_invalid(job: OwnedJob, clock: _Clock) -> None:
+    """Contact was restored long ago, but the job may have been ended or taken over before."""
     doubt_until = clock.time + 4_000.0
     assert job.proof.is_valid(doubt_until=doubt_until, max_age=1_500.0)
     clock.time += 60_000.0
@@ -110,7 +112,7 @@
     assert job.proof.is_valid(doubt_until=doubt_until, max_age=1_500.0)
 
 
-def test_a_job_goes_on_for_a_while_when_the_store_cannot_be_asked(
+def test_job_continues_for_the_grace_period_while_the_store_is_unreachable(
     store: MemoryStore, job: OwnedJob, clock: _Clock
 ) -> None:
     store.outage = True
@@ -121,11 +123,11 @@
     assert not job.proof.is_in_grace
 
 
-def test_a_store_that_takes_no_commit_is_asked_with_pauses(
+def test_failed_commits_are_retried_with_a_delay(
     store: MemoryStore, job: OwnedJob, clock: _Clock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """All items have run and the store refuses at once. Without a pause the last commit was tried
-    again 60 times a second, by every entry with such a job."""
+    """All items have run and the store refuses each commit at once. Without a delay, every entry
+    with such a job retried the last commit 60 times a second."""
     (work,) = job.work.open_items()
     job.work.finish(work, ItemEnd.COMPLETED)
     assert job.is_commit_due(clock.time)
@@ -140,12 +142,12 @@
     assert 5 <= tries <= 10_000.0 / COMMIT_RETRY_DELAY + 1
 
 
-def test_a_peers_word_of_an_end_does_not_end_a_job_that_was_taken_over(
+def test_reported_end_does_not_end_a_job_that_was_taken_over(
     records: JobRecords, job: OwnedJob
 ) -> None:
-    """The owner stalls, another entry takes the job over and commits a result, and the job is
-    ended. The owner wakes and hears only that it was ended. Believing that, it would take the job
-    as finished, never ask the store again, and answer readers without the result for good."""
+    """The owner stalls. Another entry takes the job over and commits a result, and the job is
+    ended. The old owner resumes and receives only the report of the end. Trusting the report, it
+    would consider the job finished, never read the store again, and omit the result forever."""
     run = _run(job)
     result = ItemResult(item_id="i", end=ItemEnd.COMPLETED, text="t")
     _change(records, owner="e2#1", results=(result,), ended=True)
@@ -157,10 +159,10 @@
     assert job.lost
 
 
-def test_nothing_starts_on_a_peers_word_until_the_store_has_been_asked(
+def test_no_item_starts_between_a_reported_end_and_its_verification(
     store: MemoryStore, job: OwnedJob, clock: _Clock
 ) -> None:
-    """The word came while the store was away, which is otherwise a reason to go on."""
+    """The report arrives during an outage of the store, in which jobs otherwise continue."""
     clock.time += 10.0
     store.outage = True
     assert job.report_ended()
@@ -173,8 +175,8 @@
     assert job.proof.is_valid(doubt_until=0.0, max_age=1_500.0)
 
 
-def test_a_commit_under_way_says_nothing_of_a_later_word(job: OwnedJob, clock: _Clock) -> None:
-    """A commit was sent before the word came, and is answered after it."""
+def test_commit_sent_before_a_reported_end_does_not_verify_it(job: OwnedJob, clock: _Clock) -> None:
+    """A commit is sent before the report of the end arrives and is answered after it."""
     requested_at = clock.time
     clock.time += 10.0
     assert job.report_ended()
@@ -182,11 +184,11 @@
     assert not job.proof.is_valid(doubt_until=0.0, max_age=1_500.0)
 
 
-def test_a_job_whose_records_are_gone_is_over(
+def test_job_whose_records_were_removed_is_lost(
     records: JobRecords, store: MemoryStore, job: OwnedJob
 ) -> None:
-    """Only jobs that are over are removed. The owner missed the end; a record that is missing is
-    the store's own word and no outage."""
+    """Only finished or ended jobs are removed, so that the owner has missed the end. A missing
+    record is an answer of the store and no outage."""
     assert records.remove(store.get("progress/j").unwrap()) is None
     assert not job.verify()
     assert job.lost
--- a/packages/node/tests/test_direct_retention.py
+++ b/packages/node/tests/test_direct_retention.py
@@ -1,4 +1,4 @@
-"""Removal of finished jobs: what goes, when, and what must never go."""
+"""Removal of finished jobs: which records are removed, when, and which must be kept."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class _System:
-    """One entry's retention over a store."""
+    """A store and the retention of one entry."""
 
     def __init__(self) -> None:
         self.objects = MemoryObjects()
@@ -63,7 +63,7 @@
     return _System()
 
 
-def test_a_finished_job_goes_after_its_retention_and_an_open_one_stays(system: _System) -> None:
+def test_finished_jobs_are_removed_after_the_retention_and_open_ones_kept(system: _System) -> None:
     system.job("done", done=2)
     system.job("ended", done=1, ended=True)
     system.job("open", done=1)
@@ -72,9 +72,9 @@
     assert system.stored() == {"jobs/open", "progress/open"}
 
 
-def test_a_job_that_finished_of_late_stays(system: _System) -> None:
-    """It is seen open at the first sweep and finished at the second. Its readers have the whole
-    retention from then on."""
+def test_recently_finished_job_is_kept(system: _System) -> None:
+    """The job is open at the first sweep and finished at the second. Readers have the whole
+    retention from the second sweep on."""
     system.job("j", done=1)
     system.sweep_at(121)
     read = system.records.read_progress("j").unwrap()
@@ -84,7 +84,7 @@
     assert system.sweep_at(363) == 1
 
 
-def test_the_entry_that_is_not_on_duty_removes_nothing(system: _System) -> None:
+def test_entry_that_is_not_on_duty_removes_nothing(system: _System) -> None:
     system.job("j", done=2)
     system.on_duty = False
     assert (system.sweep_at(121), system.sweep_at(242)) == (0, 0)
@@ -93,7 +93,7 @@
     assert system.sweep_at(484) == 1
 
 
-def test_long_records_go_with_their_pieces(system: _System) -> None:
+def test_pieces_of_long_records_are_removed(system: _System) -> None:
     system.job("long", done=2, text="x" * 5_000)
     assert any(key.startswith("pieces/") for key in system.stored())
     system.sweep_at(121)
@@ -101,11 +101,11 @@
     assert system.stored() == set()
 
 
-def test_a_removal_that_stops_halfway_never_leaves_a_job_that_would_run_again(
+def test_partial_removal_leaves_no_job_that_would_run_again(
     system: _System,
 ) -> None:
-    """The store takes the first removal and fails at the second. The input must be the one that is
-    gone, since an input without progress is a job that nobody has begun; the rest goes later."""
+    """The store removes the first record and fails at the second. The input must be removed first,
+    since an input without progress is an unstarted job. A later sweep removes the progress."""
     system.job("j", done=2)
     system.sweep_at(121)
     system.store.inject(
