--- a/tests/direct/test_foreign_records.py
+++ b/tests/direct/test_foreign_records.py
@@ -1,4 +1,4 @@
-"""Records in the store that come from other writers, or cannot be read."""
+"""Invalid records, hints and calls that other writers produce."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
 )
 
 CALLS = 12
-"""Calls on one service of three upstreams that make it all but certain that each is chosen."""
-KNOWN_S = 0.8
-"""A change is known within two pauses between watches of 250 ms."""
+"""Calls on one service of three upstreams, enough that each upstream is almost certainly chosen."""
+DETECTION_TIME_S = 0.8
+"""An entry detects a change within two pauses of 250 ms between watches."""
 FAULTS: tuple[dict[str, Any], ...] = (
     {"slots": "8"},
     {"slots": True},
@@ -44,7 +44,7 @@
 
 @pytest.fixture
 def system(tmp_path: Path) -> Iterator[Deployment]:
-    """Stand-ins without entries."""
+    """A deployment of stand-ins without entries."""
     with deployment(tmp_path) as running:
         yield running
 
@@ -60,19 +60,19 @@
 
 
 def _calls_at(entry: Entry, server: PlatformServer) -> int:
-    """Make some calls, which must all be answered; return how many reached a server."""
+    """Make `CALLS` calls, which must all be answered; return how many reached a server."""
     before = len(server.seen)
     for _ in range(CALLS):
         assert entry.call("GET", "/safe/x").status == 200
     return len(server.seen) - before
 
 
-def test_a_registration_that_turns_bad_names_no_upstream_until_it_mends(
+def test_invalid_registration_removes_its_upstream_until_it_is_valid_again(
     system: Deployment,
 ) -> None:
-    """One of three registrations is overwritten by another writer, mends, and is bad again, once
-    for each fault. Callers must be answered all the while; while it is bad its server gets nothing,
-    and afterwards it is used again. The log tells each change once."""
+    """Another writer makes one of three registrations invalid and valid again, once for each fault.
+    Callers must be answered throughout. The server gets no request while its registration is
+    invalid, and is used again afterwards. Each change is logged once."""
     others = [system.server("plain", _answer) for _ in range(2)]
     server = system.server("plain", _answer)
     entry = system.entry("e1")
@@ -80,7 +80,7 @@
         _register(system, server, sequence=number)
         eventually(lambda: _calls_at(entry, server) > 0, 3)
         _register(system, server, **fault)
-        time.sleep(KNOWN_S)
+        time.sleep(DETECTION_TIME_S)
         assert _calls_at(entry, server) == 0, fault
     assert all(other.seen for other in others)
     bad = entry.logged("event=bad_registration")
@@ -150,10 +150,10 @@
 )
 
 
-def test_what_peers_and_other_writers_send_stops_no_entry(system: Deployment) -> None:
-    """Two entries work on a job each. Other writers register entries whose addresses are none, and
-    send hints and calls that are none. A call must be refused with 400, and the entries must go on
-    to hear each other: one that does not is taken for dead, and its job is run again elsewhere."""
+def test_invalid_messages_and_records_stop_no_entry(system: Deployment) -> None:
+    """Two entries run a job each. Other writers register entries with invalid addresses and send
+    invalid hints and calls. Calls must be refused with 400, and the entries must still receive each
+    other's hints: an entry without hints counts as dead, and its job runs again elsewhere."""
     system.server("engine", stream_events(10, pause_s=0.5))
     entries = [system.entry("e1"), system.entry("e2")]
     time.sleep(1.0)
@@ -191,15 +191,15 @@
 BAD_COUNT = 10_000
 GOOD_COUNT = 9
 CPU_SHARE = 0.30
-"""Bound of processor time over wall time; an entry without bad registrations takes some 0.02."""
+"""Bound of processor time over wall time; an entry without bad registrations takes about 0.02."""
 MEMORY_MB = 60
-"""Bound of what the bad ones add to the entry's peak."""
+"""Bound of the increase of the entry's peak memory by bad registrations."""
 
 
-def test_ten_thousand_bad_registrations_cost_little(system: Deployment) -> None:
-    """Another writer fills the list of servers with what is none, and keeps changing some of it.
-    Callers must be answered by the good servers, and the entry must stay small: in memory, in
-    processor time, and in lines of its log."""
+def test_ten_thousand_bad_registrations_use_few_resources(system: Deployment) -> None:
+    """Another writer fills the list of servers with invalid registrations and keeps changing some
+    of them. The valid servers must still answer callers, and the entry's memory, processor time and
+    number of log lines must stay within their bounds."""
     servers = [system.server("plain", _answer) for _ in range(GOOD_COUNT)]
     entry = system.entry("e1")
     time.sleep(3.0)
@@ -207,12 +207,13 @@
     for number in range(BAD_COUNT):
         bad = [None, {"service": 7}, {"slots": "8" * 200}, ["x"]][number % 4]
         system.objects.put("servers", f"bad-{number:05}", bad)
-    eventually(lambda: _counted_bad(entry) >= BAD_COUNT, 60)
+    eventually(lambda: _bad_registration_count(entry) >= BAD_COUNT, 60)
     quiet = _cpu_s(entry)
     began = time.monotonic()
     for number in range(40):
         system.objects.put("servers", f"bad-{number:05}", {"n": number})
-        # Two hundred calls miss one of nine servers by chance once in some billion runs.
+        # The probability that two hundred calls miss one of nine servers by chance is about one in
+        # a billion runs.
         for _ in range(5):
             assert entry.call("GET", "/safe/x").status == 200
         time.sleep(0.5)
@@ -226,7 +227,7 @@
     assert lines < 400
 
 
-def _counted_bad(entry: Entry) -> float:
+def _bad_registration_count(entry: Entry) -> float:
     connection = http.client.HTTPConnection("127.0.0.1", entry.metrics_port, timeout=5.0)
     try:
         connection.request("GET", "/metrics")
--- a/tests/direct/test_jobs.py
+++ b/tests/direct/test_jobs.py
@@ -1,4 +1,4 @@
-"""Batch jobs through direct entries while owners die, freeze, or lose the store."""
+"""Batch jobs at direct entries while owners are killed, frozen, or cut off from the store."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 @pytest.fixture
 def system(tmp_path: Path) -> Iterator[Deployment]:
-    """Stand-ins without entries."""
+    """A deployment of stand-ins without entries."""
     with deployment(tmp_path) as running:
         yield running
 
@@ -50,19 +50,19 @@
             return found
 
 
-def _results_are_whole(results: list[dict[str, str]], ids: list[str]) -> None:
+def _assert_complete(results: list[dict[str, str]], ids: list[str]) -> None:
     assert Counter(each["id"] for each in results) == Counter(ids)
     assert {each["text"] for each in results} == {TEXT}
 
 
-def test_a_job_is_accepted_once_and_read_at_every_entry(system: Deployment) -> None:
+def test_job_is_accepted_once_and_readable_at_every_entry(system: Deployment) -> None:
     system.server("engine", stream_events(EVENTS))
     first, second = system.entry("e1"), system.entry("e2")
     ids = [f"i{number}" for number in range(12)]
     for entry in (first, second, first):
         assert entry.call("POST", "/batch/j", body=submission(*ids), request_id="j").status == 202
     for entry in (first, second):
-        _results_are_whole(eventually(lambda e=entry: finished(e, "j"), 10), ids)
+        _assert_complete(eventually(lambda e=entry: finished(e, "j"), 10), ids)
         page = read_results(entry, "j", after=10)
         assert isinstance(page, dict)
         assert (page["total"], page["next_token"], len(page["results"])) == (12, 12, 2)
@@ -72,12 +72,12 @@
 
 
 @pytest.mark.parametrize("fault", [signal.SIGKILL, signal.SIGTERM, signal.SIGSTOP])
-def test_another_entry_finishes_what_its_owner_left(
+def test_another_entry_finishes_the_job_of_a_lost_owner(
     system: Deployment, fault: signal.Signals
 ) -> None:
-    """The owner has committed some results when it is killed, told to stop, or frozen. The other
-    entry goes on; positions that were read keep their content, nothing is listed twice, and a
-    frozen owner that wakes changes nothing."""
+    """The owner is killed, terminated or frozen after it has committed some results. The other
+    entry continues the job: results that were read keep their positions, none is listed twice, and
+    a frozen owner that resumes changes nothing."""
     system.server("engine", stream_events(EVENTS, pause_s=0.25))
     owner, other = system.entry("e1"), system.entry("e2")
     time.sleep(2.6)
@@ -91,7 +91,7 @@
     before = eventually(some, 8)
     owner.signal(fault)
     results = eventually(lambda: finished(other, "j"), 20)
-    _results_are_whole(results, ids)
+    _assert_complete(results, ids)
     assert results[: len(before)] == before
     if fault is signal.SIGSTOP:
         owner.signal(signal.SIGCONT)
@@ -100,11 +100,11 @@
         assert finished(other, "j") == results
 
 
-def test_an_owner_that_dies_while_the_store_is_away_is_replaced_after_its_return(
+def test_owner_killed_during_a_store_outage_is_replaced_after_the_outage(
     system: Deployment,
 ) -> None:
-    """The store refuses everything, and the owner is killed meanwhile. The first try to take its
-    job over fails; the job must still go on soon after the store is back."""
+    """The owner is killed while the store refuses every call, so that the first attempt to take its
+    job over fails. The job must still continue soon after the outage."""
     system.server("engine", stream_events(EVENTS, pause_s=0.4))
     owner, other = system.entry("e1"), system.entry("e2")
     time.sleep(2.6)
@@ -115,12 +115,12 @@
     owner.signal(signal.SIGKILL)
     time.sleep(4.0)
     system.objects.faults.status = 0
-    _results_are_whole(eventually(lambda: finished(other, "j"), 8), ids)
+    _assert_complete(eventually(lambda: finished(other, "j"), 8), ids)
 
 
-def test_everything_is_killed_right_after_an_acceptance(system: Deployment) -> None:
-    """The job is acknowledged and every entry dies before an item has run. New entries find it in
-    the store and do it."""
+def test_accepted_job_survives_the_kill_of_all_entries(system: Deployment) -> None:
+    """All entries are killed after the job is acknowledged and before an item has run. New entries
+    find the job in the store and run it."""
     entries = [system.entry("e1"), system.entry("e2")]
     body = submission("a", "b")
     assert entries[0].call("POST", "/batch/j", body=body, request_id="j").status == 202
@@ -128,13 +128,13 @@
         entry.signal(signal.SIGKILL)
     system.server("engine", stream_events(EVENTS))
     fresh = [system.entry(name, first_start=False) for name in ("e1", "e2")]
-    _results_are_whole(eventually(lambda: finished(fresh[1], "j"), 12), ["a", "b"])
+    _assert_complete(eventually(lambda: finished(fresh[1], "j"), 12), ["a", "b"])
 
 
-def test_a_job_of_an_owner_that_nobody_has_heard_is_found(system: Deployment) -> None:
-    """A job is accepted, and its entry is gone for good before any other has heard of the job: its
-    hints are datagrams and may all be lost. Nobody misses the job, and it used to lie in the store
-    until some entry started. Now a listing follows each time that an entry does not come back."""
+def test_job_that_no_hint_has_named_is_found(system: Deployment) -> None:
+    """An entry accepts a job and is gone for good before a hint that names the job arrives, since
+    hints are datagrams and may be lost. The job used to stay in the store without an owner until
+    some entry started. Entries now list the store whenever a peer does not come back."""
     owner = system.entry("e1")
     assert owner.call("POST", "/batch/j", body=submission("a"), request_id="j").status == 202
     owner.signal(signal.SIGKILL)
@@ -143,13 +143,13 @@
     entry, other = system.entry("e2"), system.entry("e3")
     eventually(lambda: entry.logged("event=peer_seen peer=e3"), 5)
     other.signal(signal.SIGKILL)
-    _results_are_whole(eventually(lambda: finished(entry, "j"), 15), ["a"])
+    _assert_complete(eventually(lambda: finished(entry, "j"), 15), ["a"])
 
 
-def test_an_owner_that_was_killed_goes_on_where_it_stood(system: Deployment) -> None:
-    """An item of four seconds is three seconds old, and its job has no result yet, when its owner
-    is killed. The same host starts again at once. The item goes on after what was committed instead
-    of from its beginning, without waiting until the entries know each other."""
+def test_restarted_owner_resumes_its_items_from_the_last_commit(system: Deployment) -> None:
+    """The owner is killed when an item of four seconds has run for three and its job has no result
+    yet. The same host starts again at once. The item resumes after its committed events instead of
+    from its beginning, and without waiting until the entries know each other."""
     server = system.server("engine", stream_events(40, pause_s=0.1))
     first = system.entry("e1")
     assert first.call("POST", "/batch/j", body=submission("a"), request_id="j").status == 202
@@ -163,9 +163,9 @@
     assert resumed[1] >= 15
 
 
-def test_a_leaving_owner_hands_over_what_its_items_received(system: Deployment) -> None:
-    """SIGTERM in the middle of an item. Another entry goes on after the last event; the whole item
-    used to run again."""
+def test_owner_that_shuts_down_hands_over_the_events_of_its_items(system: Deployment) -> None:
+    """The owner receives SIGTERM in the middle of an item. Another entry resumes the item after its
+    last event; the whole item used to run again."""
     server = system.server("engine", stream_events(30, pause_s=0.1))
     first, other = system.entry("e1"), system.entry("e2")
     time.sleep(1.0)
@@ -179,9 +179,9 @@
     assert resumed[1] >= 10
 
 
-def test_items_that_fail_are_given_up_and_their_job_ends(system: Deployment) -> None:
-    """One item gets 500 each time, one 422. The first is tried as often as its route allows, the
-    second once; both end as dead letters and the third completes."""
+def test_failing_items_become_dead_letters_and_their_job_finishes(system: Deployment) -> None:
+    """The upstream answers one item with 500 each time and one with 422. The first is tried as
+    often as its route allows, the second once. Both end as dead letters; the third completes."""
     runs: Counter[str] = Counter()
 
     def behave(request: ServedRequest, connection: ServerConnection) -> None:
@@ -203,8 +203,8 @@
     assert runs == {"bad": 3, "never": 1, "good": 1}
 
 
-def test_an_ended_job_starts_nothing_more(system: Deployment) -> None:
-    """The job is ended through the entry that does not own it, while its items run."""
+def test_ended_job_starts_no_further_items(system: Deployment) -> None:
+    """The job is ended through an entry that does not own it, while its items run."""
     server = system.server("engine", stream_events(EVENTS, pause_s=0.5))
     owner, other = system.entry("e1"), system.entry("e2")
     ids = [f"i{number}" for number in range(30)]
@@ -219,19 +219,19 @@
     assert owner.call("POST", "/batch/j", body=submission(*ids), request_id="j").status == 202
 
 
-def test_a_job_whose_store_answer_is_lost_is_accepted_once(system: Deployment) -> None:
+def test_job_is_accepted_once_when_the_answer_of_the_store_is_lost(system: Deployment) -> None:
     system.server("engine", stream_events(EVENTS))
     entry = system.entry("e1")
     system.objects.faults.lose_answers = 1
     assert entry.call("POST", "/batch/j", body=submission("a"), request_id="j").status == 202
-    _results_are_whole(eventually(lambda: finished(entry, "j"), 10), ["a"])
+    _assert_complete(eventually(lambda: finished(entry, "j"), 10), ["a"])
 
 
-def test_without_the_store_a_new_job_is_refused_at_once_and_an_accepted_one_goes_on(
+def test_store_outage_refuses_new_jobs_at_once_and_accepted_ones_continue(
     system: Deployment,
 ) -> None:
-    """The store refuses everything for some seconds. A refused job never runs; the accepted one
-    runs on, and its results are there once the store is back."""
+    """The store refuses every call for some seconds. A job refused meanwhile never runs. The job
+    accepted before keeps running, and its results are readable after the outage."""
     server = system.server("engine", stream_events(EVENTS, pause_s=0.1))
     entry = system.entry("e1")
     assert entry.call("POST", "/batch/j", body=submission("a", "b"), request_id="j").status == 202
@@ -244,13 +244,13 @@
     assert read_results(entry, "k") == 503
     time.sleep(1.5)
     system.objects.faults.status = 0
-    _results_are_whole(eventually(lambda: finished(entry, "j"), 5), ["a", "b"])
+    _assert_complete(eventually(lambda: finished(entry, "j"), 5), ["a", "b"])
     assert "c" not in {each.request_id for each in server.seen}
 
 
-def test_a_job_longer_than_one_object_is_kept_in_pieces(system: Deployment) -> None:
-    """Input and results are longer than the store's objects may be. The job is accepted, survives
-    its owner, and its results and bodies are whole."""
+def test_job_larger_than_one_object_is_stored_in_pieces(system: Deployment) -> None:
+    """Input and results exceed the store's size limit of an object. The job is accepted, survives
+    the loss of its owner, and its results and bodies are complete."""
     words = "y" * 60_000
 
     def behave(request: ServedRequest, connection: ServerConnection) -> None:
@@ -280,7 +280,7 @@
     assert max(len(json.dumps(value)) for value in stored) < 1_048_576
 
 
-def test_the_waiting_quota_refuses_what_does_not_fit(system: Deployment) -> None:
+def test_job_over_the_waiting_quota_is_refused(system: Deployment) -> None:
     system.server("engine", stream_events(EVENTS, pause_s=2.0))
     entry = system.entry("e1")
     big = submission("a", "b", tokens=40_000)
@@ -291,9 +291,9 @@
     assert entry.call("POST", "/batch/j", body=big, request_id="j").status == 202
 
 
-def test_online_takes_the_place_of_batch_which_resumes(system: Deployment) -> None:
-    """Batch fills the only engine but for its reserve. Callers arrive and are served without
-    waiting for an item to end; the items that gave way go on at their next event."""
+def test_online_requests_preempt_batch_items_which_resume(system: Deployment) -> None:
+    """Batch items fill the only engine up to its reserve. An online request is served without
+    waiting for an item to finish, and preempted items resume after their last event."""
     server = system.server("engine", stream_events(20, pause_s=0.1))
     entry = system.entry("e1")
     ids = [f"i{number}" for number in range(7)]
