--- a/packages/node/src/carobspool_node/direct/_job_catalog.py
+++ b/packages/node/src/carobspool_node/direct/_job_catalog.py
@@ -76,7 +76,7 @@
     def cache_if_finished(self, job_id: str, progress: JobProgress) -> bool:
         """Cache the progress if every item has a result; return whether the job needs no owner.
 
-        An ended job needs none either, but is not cached.
+        An ended job without results for all items needs no owner either, but is not cached.
         """
         if len(progress.results) < progress.total:
             return progress.ended
--- a/packages/node/src/carobspool_node/direct/_job_runner.py
+++ b/packages/node/src/carobspool_node/direct/_job_runner.py
@@ -41,9 +41,9 @@
 NOT_RUN_RETRY_DELAY: Millis = 60.0
 BROKEN_RETRY_DELAY: Millis = 100.0
 START_PROOF_MAX_AGE: Millis = 1_500.0
-"""Oldest proof of ownership with which an item may start when other entries may have taken over or
-ended the job since. A job that was ended through another entry must not start items three seconds
-later, and a loss of contact between entries is detected within 0.9 s."""
+"""Maximum age of the proof of ownership with which an item may start when other entries may have
+taken over or ended the job since. A job that was ended through another entry must not start items
+three seconds later, and a loss of contact between entries is detected within 0.9 s."""
 MAX_FINISHED_JOBS = 64
 """Finished jobs that an entry serves from memory; older ones are read from the store."""
 
@@ -153,7 +153,7 @@
             return list(self._jobs.values())
 
     def job_ids(self, *, finished: bool) -> frozenset[str]:
-        """Return the ids of the owned jobs that are finished, or that are not."""
+        """Return the ids of the owned jobs that are finished, or of those that are not."""
         jobs = self.owned()
         return frozenset(job.job_id for job in jobs if job.finished is finished and not job.lost)
 
@@ -204,9 +204,9 @@
     def _evict_jobs(self) -> None:
         jobs = self.owned()
         finished = [job for job in jobs if job.finished]
-        too_many = max(0, len(finished) - MAX_FINISHED_JOBS)
-        dropped = [job for job in jobs if job.lost] + finished[:too_many]
-        for job in dropped:
+        excess = max(0, len(finished) - MAX_FINISHED_JOBS)
+        evicted = [job for job in jobs if job.lost] + finished[:excess]
+        for job in evicted:
             with self._lock:
                 self._jobs.pop(job.job_id, None)
             logging.info("event=job_dropped job=%s lost=%s", job.job_id, job.lost)
--- a/packages/node/src/carobspool_node/direct/_jobs.py
+++ b/packages/node/src/carobspool_node/direct/_jobs.py
@@ -35,9 +35,9 @@
 from carobspool_node.direct._peers import Peers
 
 READ_PROOF_MAX_AGE: Millis = 700.0
-"""Oldest proof of ownership with which results are served without a new verification while other
-entries may have considered this one dead. A reader that saw a position at another entry must find
-it here within a second."""
+"""Maximum age of the proof of ownership with which results are served without a new verification
+while other entries may have considered this one dead. A reader that saw a position at another entry
+must find it here within a second."""
 PEER_CALL_TIMEOUT: Millis = 900.0
 MAX_END_ATTEMPTS = 4
 RESUBMITTED = "submitted again"
--- a/packages/node/src/carobspool_node/direct/_owned_job.py
+++ b/packages/node/src/carobspool_node/direct/_owned_job.py
@@ -150,7 +150,7 @@
             if self._work.ended or self._lost or self._proof.is_end_unverified:
                 return False
             self._proof.report_ended()
-        self.cancel_runs("a peer says that the job was ended")
+        self.cancel_runs("a peer reported the end of the job")
         return True
 
     def _apply_stored_end(self, source: str) -> None:
