--- a/packages/node/src/carobspool_node/direct/_loads.py
+++ b/packages/node/src/carobspool_node/direct/_loads.py
@@ -1,7 +1,7 @@
-"""Requests in flight at each upstream, and which upstream gets the next one.
+"""Track the requests in flight at each upstream and choose the upstream of the next request.
 
-The only shared state of forwarding. Choosing and counting happen under one lock, so that requests
-which arrive together do not all see the same upstream free.
+`LoadTable` is the only state that forwarding threads share. An upstream is chosen and the request
+counted under one lock, so that concurrent requests do not all pick the same free upstream.
 """
 
 from __future__ import annotations
@@ -28,22 +28,21 @@
 from carobspool_node.direct._in_flight import BatchRun, OwnRequests, Placement
 from carobspool_node.direct._suspects import Suspects
 
-QUIET_TIME: Millis = 600.0
-"""An engine with running requests sends an event every 30 ms or so, and a plain service answers in
-some 100 ms. One that has requests and says nothing for this long has probably stopped."""
+UPSTREAM_SILENCE_LIMIT: Millis = 600.0
+"""Time without data after which an upstream with requests in flight counts as hung. A working
+engine sends an event about every 30 ms, and a plain service answers in about 100 ms."""
 
-
-GAVE_WAY_HERE = "gave way to an online request of this entry"
-GAVE_WAY_TO_OTHERS = "gave way to requests of other entries"
+PREEMPTED_BY_OWN_REQUEST = "preempted by an online request of this entry"
+PREEMPTED_BY_PEER_REQUESTS = "preempted by requests of other entries"
 
 
 class LoadTable:
-    """What this entry and the others have in flight.
+    """The requests that this entry and its peers have in flight at each upstream.
 
     Args:
         clock: The process's clock.
-        failure_domain: Where this entry runs.
-        name: Name of this entry, as its peers know it.
+        failure_domain: Failure domain in which this entry runs.
+        name: Name under which peers know this entry.
     """
 
     def __init__(self, clock: Clock, failure_domain: str, *, name: str) -> None:
@@ -59,11 +58,11 @@
         self._on_own_change: Callable[[], None] = lambda: None
 
     def on_room(self, callback: Callable[[], None]) -> None:
-        """Call ``callback`` when a request, of this entry or of another, has left an upstream."""
+        """Set the callback for a request of this entry or of a peer that has left an upstream."""
         self._on_change = callback
 
     def on_own_change(self, callback: Callable[[], None]) -> None:
-        """Call ``callback`` when something that this entry has in flight began or ended."""
+        """Set the callback for the start or end of a request or batch item of this entry."""
         self._on_own_change = callback
 
     def place_online(
@@ -75,67 +74,67 @@
         excluded: frozenset[str] = frozenset(),
         far: Sequence[Upstream] = (),
     ) -> Placement | None:
-        """Choose an upstream and count the request; cancels batch items that stand in its way.
+        """Choose an upstream for an online request, count it, and preempt batch items if needed.
 
         Args:
-            upstreams: Candidates.
-            target_latency: Within which the answer is on time.
-            returned: Whether the caller was refused before.
-            excluded: Identities of upstreams that this request has met already.
-            far: Further candidates for when the first ones are full or suspects; their loads are
-                known by heartbeats only.
+            upstreams: Preferred candidates.
+            target_latency: Time within which the answer is on time.
+            returned: Whether the caller retries after a refusal.
+            excluded: Identities of upstreams that this request has already tried.
+            far: Candidates for when all preferred ones are full or suspect. Their loads are
+                known from heartbeats only.
 
         Returns:
-            The placement, ``None`` when all upstreams are full for such a request.
+            The placement, or ``None`` when no upstream has room for the request.
         """
 
         def queue(upstream: Upstream) -> int:
             return queue_limit(
                 slots=upstream.slots,
-                mean_duration=self._duration(upstream.service).value,
+                mean_duration=self._mean_duration(upstream.service).value,
                 target_latency=target_latency,
                 returned=returned,
             )
 
         now = self._clock.now()
         with self._lock:
-            loads = self._loads(now)
-            suspects = self._suspected(now, first_try=not excluded)
+            loads = self._total_loads(now)
+            suspects = self._current_suspects(now, first_try=not excluded)
             chosen = None
             for candidates in (upstreams, far):
                 if excluded:
                     candidates = [each for each in candidates if each.identity not in excluded]
-                found = choose_upstream(
+                candidate = choose_upstream(
                     candidates,
                     loads,
                     failure_domain=self._failure_domain,
                     queue=queue,
                     suspects=suspects,
                 )
-                if found is not None and (chosen is None or found.identity not in suspects):
-                    chosen = found
+                if candidate is not None and (chosen is None or candidate.identity not in suspects):
+                    chosen = candidate
                 if chosen is not None and chosen.identity not in suspects:
                     break
             if chosen is None:
                 return None
             load = loads.get(chosen.identity, NO_LOAD)
-            self._begin(chosen, now).online += 1
+            self._own_requests(chosen, now).online += 1
             self._fleet.add_own(chosen.identity, online=1)
-            victims = self._victims(chosen, now, own_first=True)
+            preempted = self._runs_to_preempt(chosen, now, own_first=True)
         self._on_own_change()
-        for run in victims:
-            run.cancellation.cancel(GAVE_WAY_HERE)
+        for run in preempted:
+            run.cancellation.cancel(PREEMPTED_BY_OWN_REQUEST)
         return Placement(upstream=chosen, started=now, load=load)
 
     def describe(self, upstreams: Sequence[Upstream]) -> str:
-        """Return what decides about a refusal, for the log: loads, mean duration, hints' age."""
+        """Return the loads, mean duration and age of hints behind a refusal, for the log."""
         now = self._clock.now()
         with self._lock:
-            loads = self._loads(now)
+            loads = self._total_loads(now)
             loads = {each.identity: loads.get(each.identity, NO_LOAD) for each in upstreams}
-            suspects = self._suspected(now)
+            suspects = self._current_suspects(now)
             ages = list(self._fleet.ages(now))
-            mean = self._duration(upstreams[0].service).value if upstreams else 0.0
+            mean = self._mean_duration(upstreams[0].service).value if upstreams else 0.0
         shown = []
         for each in upstreams:
             load = loads[each.identity]
@@ -145,7 +144,13 @@
         return f"loads={','.join(shown)} mean_ms={mean:.0f} hints_age_ms={oldest:.0f}"
 
     def end_online(self, placement: Placement, *, completed: bool) -> None:
-        """Count the end of a request; a completed one tells how long such requests run."""
+        """Count the end of an online request.
+
+        Args:
+            placement: The request's placement.
+            completed: Whether the request completed. Its duration then enters the service's mean
+                if the request found a free slot.
+        """
         upstream = placement.upstream
         with self._lock:
             own = self._own[upstream.identity]
@@ -153,43 +158,49 @@
             self._fleet.add_own(upstream.identity, online=-1)
             self._drop_if_idle(own)
             if completed and placement.found_free:
-                self._duration(upstream.service).add(self._clock.now() - placement.started)
+                self._mean_duration(upstream.service).add(self._clock.now() - placement.started)
         self._on_own_change()
         self._on_change()
 
     def place_batch(
         self, upstreams: Sequence[Upstream], *, urgency: BatchUrgency, due: float
     ) -> tuple[Upstream, BatchRun] | None:
-        """Choose an upstream with room for a batch item and count it.
+        """Choose an upstream with room for a batch item and count the item.
 
         Args:
             upstreams: Candidates.
-            urgency: How the item stands; a more urgent one may take more room.
-            due: When the item's job is due, by the wall clock.
+            urgency: Urgency of the item; a more urgent item may use more slots.
+            due: Wall-clock time at which the item's job is due.
+
+        Returns:
+            The upstream and the item's run, or ``None`` when no candidate has room.
         """
         now = self._clock.now()
         with self._lock:
             chosen = choose_batch_upstream(
-                upstreams, self._loads(now), urgency=urgency, suspects=self._suspected(now)
+                upstreams,
+                self._total_loads(now),
+                urgency=urgency,
+                suspects=self._current_suspects(now),
             )
             if chosen is None:
                 return None
             run = BatchRun(started=now, urgency=urgency, due=due)
-            self._begin(chosen, now).runs.append(run)
+            self._own_requests(chosen, now).runs.append(run)
             self._fleet.add_own(chosen.identity, batch=1)
         self._on_own_change()
         return chosen, run
 
     def room_for_batch(self, upstreams: Sequence[Upstream], *, urgency: BatchUrgency) -> int:
-        """Return how many batch items of one urgency could start now."""
+        """Return how many batch items of an urgency could start now."""
         now = self._clock.now()
         with self._lock:
-            loads = self._loads(now)
-            suspects = self._suspected(now)
+            loads = self._total_loads(now)
+            suspects = self._current_suspects(now)
             return room_for_batch(upstreams, loads, urgency=urgency, suspects=suspects)
 
     def end_batch(self, upstream: Upstream, run: BatchRun) -> None:
-        """Count the end of a batch item's run."""
+        """Count the end of a batch item's run at an upstream."""
         with self._lock:
             own = self._own[upstream.identity]
             own.runs.remove(run)
@@ -199,23 +210,30 @@
         self._on_change()
 
     def mean_duration(self, service: str) -> Millis:
-        """Return how long requests of a service run that find a free slot."""
+        """Return the mean duration of a service's requests that found a free slot."""
         with self._lock:
-            return self._duration(service).value
+            return self._mean_duration(service).value
 
     def suspect(self, upstream: Upstream) -> None:
-        """Take a failure at an upstream: avoid it for a while, and tell the other entries."""
+        """Record a failure at an upstream, which is then avoided for a while.
+
+        Hints to the other entries report the failure too.
+        """
         with self._lock:
-            self._suspects.note(upstream, self._clock.now())
+            self._suspects.record_failure(upstream, self._clock.now())
 
     def heard(self, upstream: Upstream) -> None:
-        """Note that an upstream has sent something."""
+        """Record that an upstream has just sent data to this entry."""
         own = self._own.get(upstream.identity)
         if own is not None:
             own.heard = self._clock.now()
 
     def heard_at(self, upstream: Upstream) -> Millis:
-        """Return when an upstream has last sent something to this entry, 0 when it never has."""
+        """Return when an upstream last sent data to this entry.
+
+        The time is that of the first request in flight if no data came since, and 0 when this
+        entry has nothing in flight at the upstream.
+        """
         own = self._own.get(upstream.identity)
         return own.heard if own is not None else 0.0
 
@@ -228,66 +246,68 @@
         *,
         knows_starts: bool = True,
     ) -> None:
-        """Take what another entry tells; cancels own batch items that stand in its requests' way.
+        """Apply a peer's loads and failures; preempt own batch items for the peer's requests.
 
         Args:
-            peer: Its name.
-            loads: What it has in flight, by the upstream's identity.
-            upstreams: The upstreams known here.
-            failures: Failures that it has seen since its start, likewise; ``None`` if it tells
-                nothing of them.
-            knows_starts: Whether it tells upstreams' starts; if not, both come by the bare id.
+            peer: Name of the peer.
+            loads: Requests that the peer has in flight, by the upstream's identity.
+            upstreams: The upstreams known to this entry.
+            failures: Failures that the peer has seen since its start, by the upstream's identity;
+                ``None`` if the hint reports none.
+            knows_starts: Whether the peer reports start times of upstreams. If it does not, loads
+                and failures are keyed by the upstream's instance id.
         """
         now = self._clock.now()
-        victims: list[BatchRun] = []
+        preempted: list[BatchRun] = []
         with self._lock:
             if not knows_starts:
-                loads = self._of_current_starts(loads, upstreams)
+                loads = self._by_current_identity(loads, upstreams)
             frees_room = self._fleet.take(peer, loads, now)
             if failures is not None:
-                self._suspects.take(peer, failures, now)
+                self._suspects.merge_peer_failures(peer, failures, now)
             for identity in loads:
                 own = self._own.get(identity)
                 if own is not None and own.runs:
-                    victims.extend(self._victims(own.upstream, now, own_first=False))
-        for run in victims:
-            run.cancellation.cancel(GAVE_WAY_TO_OTHERS)
+                    preempted.extend(self._runs_to_preempt(own.upstream, now, own_first=False))
+        for run in preempted:
+            run.cancellation.cancel(PREEMPTED_BY_PEER_REQUESTS)
         if frees_room:
             self._on_change()
 
     def restarted(self, upstream: Upstream) -> None:
-        """Note that an upstream has started again, and has room."""
+        """Record that an upstream has restarted, which leaves its slots free."""
         with self._lock:
-            self._suspects.restarted(upstream)
+            self._suspects.record_restart(upstream)
         self._on_change()
 
     def own_loads(self) -> dict[str, Load]:
-        """Return what this entry has in flight, for its hints."""
+        """Return the requests that this entry has in flight, by the upstream's identity."""
         with self._lock:
             return {
                 identity: Load(own.online, len(own.runs)) for identity, own in self._own.items()
             }
 
     def own_failures(self) -> dict[str, int]:
-        """Return the failures that this entry has seen at each upstream, for its hints."""
+        """Return the failures that this entry has seen, by the upstream's identity."""
         with self._lock:
             return self._suspects.own_failures()
 
     def forget(self, identities: set[str]) -> None:
-        """Drop what is known of upstreams that are gone and have nothing in flight."""
+        """Drop expired loads, and the failures of upstreams that are not in ``identities``."""
         now = self._clock.now()
         with self._lock:
             self._fleet.expire(now)
-            self._suspects.forget(identities, self._fleet.peers(), now)
+            self._suspects.retain_only(identities, self._fleet.peers(), now)
 
-    def _of_current_starts(
+    def _by_current_identity(
         self, loads: Mapping[str, Load], upstreams: Sequence[Upstream]
     ) -> dict[str, Load]:
-        """Return by identity what an entry of the version before has in flight.
+        """Return the loads of a peer that runs the previous version, by the upstream's identity.
 
-        Without it, entries of two versions would not see each other's requests and overfill
-        upstreams for as long as both run. Of one that was seen to start again it cannot be told
-        which start is meant, and nothing is taken. Failures without a start are never taken.
+        If these loads were ignored, entries of the two versions would not see each other's requests
+        and would overfill upstreams while both versions run. The loads of an upstream that has
+        restarted are left out, since they may belong to either of its starts. Failures reported
+        without a start time are never used.
         """
         starts = {
             each.instance: each.started
@@ -296,10 +316,10 @@
         }
         return by_identity(loads, starts)
 
-    def _duration(self, service: str) -> MeanDuration:
+    def _mean_duration(self, service: str) -> MeanDuration:
         return self._durations.setdefault(service, MeanDuration())
 
-    def _begin(self, upstream: Upstream, now: Millis) -> OwnRequests:
+    def _own_requests(self, upstream: Upstream, now: Millis) -> OwnRequests:
         own = self._own.get(upstream.identity)
         if own is None:
             own = OwnRequests(upstream=upstream, heard=now)
@@ -310,43 +330,46 @@
         if not own.total:
             del self._own[own.upstream.identity]
 
-    def _victims(self, upstream: Upstream, now: Millis, *, own_first: bool) -> list[BatchRun]:
-        """Return the own batch runs that give way at an upstream.
+    def _runs_to_preempt(
+        self, upstream: Upstream, now: Millis, *, own_first: bool
+    ) -> list[BatchRun]:
+        """Return the batch runs of this entry to preempt at an upstream.
 
         Args:
-            upstream: Where.
-            now: The clock's instant.
-            own_first: Whether this entry has just placed the request that needs the place. Its own
-                runs then go first, since nobody else knows of the request yet.
+            upstream: The upstream.
+            now: Current time of the clock.
+            own_first: Whether this entry has just placed the request that needs the slot. The
+                entry then preempts its own runs, since no peer knows of the request yet.
         """
         own = self._own.get(upstream.identity)
         if own is None or not own.runs:
             return []
-        live = [run for run in own.runs if not run.cancellation.cancelled]
-        load = self._loads(now).get(upstream.identity, NO_LOAD)
+        running = [run for run in own.runs if not run.cancellation.cancelled]
+        load = self._total_loads(now).get(upstream.identity, NO_LOAD)
         excess = excess_of_batch(
-            upstream, Load(load.online, load.batch - (len(own.runs) - len(live)))
+            upstream, Load(load.online, load.batch - (len(own.runs) - len(running)))
         )
-        count = min(excess, len(live))
+        count = min(excess, len(running))
         if count and not own_first:
             peers = self._fleet.at(upstream.identity)
             runs = {peer: theirs.batch for peer, theirs in peers.items()}
-            runs[self._name] = len(live)
+            runs[self._name] = len(running)
             count = share_of_excess(upstream, excess, runs, self._name)
         if not count:
             return []
-        # What is late anyway gives way first, then what is due last. By the start alone an item
-        # that has just resumed would be the next to go, again and again, and end its job late.
-        return sorted(live, key=lambda run: (run.urgency, -run.due, -run.started))[:count]
+        # Items that are already late are preempted first, then those with the latest due time. If
+        # the start time alone decided, an item that has just resumed would be preempted again and
+        # again, and its job would end late.
+        return sorted(running, key=lambda run: (run.urgency, -run.due, -run.started))[:count]
 
-    def _suspected(self, now: Millis, *, first_try: bool = True) -> frozenset[str]:
-        suspects = self._suspects.current(now, first_try=first_try)
+    def _current_suspects(self, now: Millis, *, first_try: bool = True) -> frozenset[str]:
+        suspects = self._suspects.avoided(now, first_try=first_try)
         for identity, own in self._own.items():
-            if now - own.heard > QUIET_TIME:
+            if now - own.heard > UPSTREAM_SILENCE_LIMIT:
                 suspects.add(identity)
         return frozenset(suspects)
 
-    def _loads(self, now: Millis) -> Mapping[str, Load]:
-        """Return what all entries have in flight; valid while the lock is held."""
+    def _total_loads(self, now: Millis) -> Mapping[str, Load]:
+        """Return the loads of all entries; the mapping is valid while the lock is held."""
         self._fleet.expire(now)
         return self._fleet.totals
--- a/packages/node/src/carobspool_node/direct/_suspects.py
+++ b/packages/node/src/carobspool_node/direct/_suspects.py
@@ -1,4 +1,4 @@
-"""Which upstreams are avoided: they could not be reached, or failed of late here or elsewhere."""
+"""Track upstreams to avoid: unreachable from this entry, or failing recently at any entry."""
 
 from __future__ import annotations
 
@@ -10,74 +10,78 @@
 from carobspool_core.direct import FailureReports, Upstream, latest_starts
 
 SUSPECT_TIME: Millis = 1_000.0
-"""How long an upstream is avoided after it could not be reached. A crashed server is back after
-some seconds or drops from the list after three heartbeats; one try a second finds out."""
-PROBATION: Millis = 4_000.0
-"""How long after that an upstream gets only first tries. Somebody has to find out whether it is
-well again, but not a request that has met a failure already and may not be tried a third time."""
+"""Time for which an upstream is avoided after a failed call. A crashed server restarts within a few
+seconds or leaves the list after three missed heartbeats; one attempt a second detects either."""
+PROBATION_TIME: Millis = 4_000.0
+"""Time after `SUSPECT_TIME` in which an upstream gets only first attempts. Some request has to
+probe the upstream, but not one that has already failed and may not be tried a third time."""
 
 
 class Suspects:
-    """Upstreams with failures. Not safe for threads; times are passed in."""
+    """Upstreams that recently failed. Not safe for threads; callers pass the current time."""
 
-    __slots__ = ("_avoided", "_failures", "_restarts", "_until")
+    __slots__ = ("_logged_as_avoided", "_failures", "_restarts", "_suspect_until")
 
     def __init__(self) -> None:
-        self._until: dict[str, Millis] = {}
+        self._suspect_until: dict[str, Millis] = {}
         self._failures = FailureReports()
         self._restarts: dict[str, int] = {}
-        self._avoided: set[str] = set()
+        self._logged_as_avoided: set[str] = set()
 
-    def note(self, upstream: Upstream, now: Millis) -> None:
-        """Take a failure that this entry met; one of a start that is over counts for nothing."""
+    def record_failure(self, upstream: Upstream, now: Millis) -> None:
+        """Record a failure seen by this entry, unless the upstream has restarted since."""
         if upstream.started < self._restarts.get(upstream.instance, upstream.started):
-            # Entries of the version before would hold it against the new start.
+            # Entries of the previous version would attribute the failure to the new start.
             return
-        self._until[upstream.identity] = now + SUSPECT_TIME
+        self._suspect_until[upstream.identity] = now + SUSPECT_TIME
         self._failures.note(upstream.identity, now)
-        self._note_avoided(now)
+        self._log_avoided_changes(now)
 
-    def take(self, peer: str, failures: Mapping[str, int], now: Millis) -> None:
-        """Take the failures that another entry has met since its start."""
+    def merge_peer_failures(self, peer: str, failures: Mapping[str, int], now: Millis) -> None:
+        """Merge the failures that a peer has counted since its start."""
         self._failures.take(peer, failures, now)
-        self._note_avoided(now)
+        self._log_avoided_changes(now)
 
-    def restarted(self, upstream: Upstream) -> None:
-        """Note that an upstream has started again."""
+    def record_restart(self, upstream: Upstream) -> None:
+        """Record that an upstream has restarted."""
         self._restarts[upstream.instance] = upstream.started
 
     def has_restarted(self, instance: str) -> bool:
-        """Whether an upstream was seen to start again."""
+        """Whether a restart of the upstream was recorded."""
         return instance in self._restarts
 
     def own_failures(self) -> dict[str, int]:
-        """Return the failures that this entry has met at each upstream, for its hints."""
+        """Return the failures that this entry has seen, by the upstream's identity."""
         return self._failures.own()
 
-    def current(self, now: Millis, *, first_try: bool) -> set[str]:
-        """Return the identities of the upstreams that are avoided now.
+    def avoided(self, now: Millis, *, first_try: bool) -> set[str]:
+        """Return the identities of the upstreams to avoid.
 
         Args:
-            now: The time.
-            first_try: Whether for a request that has not met a failure yet.
+            now: Current time.
+            first_try: Whether the request to place is on its first attempt.
         """
         found = self._failures.failing(now)
-        longer = 0.0 if first_try else PROBATION
-        found.update(identity for identity, until in self._until.items() if now < until + longer)
+        probation = 0.0 if first_try else PROBATION_TIME
+        found.update(
+            identity for identity, until in self._suspect_until.items() if now < until + probation
+        )
         return found
 
-    def forget(self, identities: set[str], peers: set[str], now: Millis) -> None:
-        """Keep what is known of these upstreams and peers only."""
-        self._until = {key: at for key, at in self._until.items() if at + PROBATION > now}
+    def retain_only(self, identities: set[str], peers: set[str], now: Millis) -> None:
+        """Drop the records of upstreams and peers other than the given ones."""
+        self._suspect_until = {
+            key: at for key, at in self._suspect_until.items() if at + PROBATION_TIME > now
+        }
         known = latest_starts(identities)
         self._restarts = {key: at for key, at in self._restarts.items() if key in known}
         self._failures.keep_only(identities, peers)
-        self._note_avoided(now)
+        self._log_avoided_changes(now)
 
-    def _note_avoided(self, now: Millis) -> None:
+    def _log_avoided_changes(self, now: Millis) -> None:
         failing = self._failures.failing(now)
-        for identity in failing - self._avoided:
-            logging.info("event=upstream_avoided upstream=%s reason='failures of late'", identity)
-        for identity in self._avoided - failing:
+        for identity in failing - self._logged_as_avoided:
+            logging.info("event=upstream_avoided upstream=%s reason='recent failures'", identity)
+        for identity in self._logged_as_avoided - failing:
             logging.info("event=upstream_used_again upstream=%s", identity)
-        self._avoided = failing
+        self._logged_as_avoided = failing
--- a/packages/node/tests/test_direct_loads.py
+++ b/packages/node/tests/test_direct_loads.py
@@ -1,4 +1,4 @@
-"""What an entry believes of its upstreams, and what it says about that."""
+"""Placement by the load table: suspects, restarts, peers' hints, far upstreams, and log lines."""
 
 from __future__ import annotations
 
@@ -34,8 +34,8 @@
 def test_an_upstream_that_failed_elsewhere_is_avoided_and_the_log_says_so(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """Two other entries met a failure each at one of two upstreams. Requests go to the other one
-    until the failures are old, and the log tells of both turns, once."""
+    """Two peers each report a failure at one of two upstreams. Requests go to the other upstream
+    until the failures expire, and the log has one line for each of the two changes."""
     clock = _Clock()
     table = LoadTable(clock, "z", name="e1")
     upstreams = [_upstream("bad"), _upstream("good")]
@@ -50,58 +50,58 @@
             assert placed.upstream.instance == "good"
         clock.at = 2_500.0
         table.forget({"bad", "good"})
-    told = [record.getMessage() for record in caplog.records]
-    assert [line.split()[0] for line in told] == [
+    lines = [record.getMessage() for record in caplog.records]
+    assert [line.split()[0] for line in lines] == [
         "event=upstream_avoided",
         "event=upstream_used_again",
     ]
-    assert all("upstream=bad" in line for line in told)
+    assert all("upstream=bad" in line for line in lines)
 
 
-def test_nothing_believed_of_an_earlier_start_touches_the_new_one() -> None:
-    """The only upstream has requests of this entry and of others in flight, is silent and has
-    failed, and starts again. Its new start is as good as one never heard of; a request that was
-    sent to the earlier one and fails late changes nothing."""
+def test_a_restarted_upstream_has_no_load_or_failures_of_its_earlier_start() -> None:
+    """The only upstream has requests of this entry and of peers in flight and has failed; then it
+    restarts. Its new start counts as idle and healthy, also when a request that was sent to the
+    earlier start fails later."""
     clock = _Clock()
     table = LoadTable(clock, "z", name="e1")
-    earlier, now = _upstream("x", 1), _upstream("x", 2)
+    earlier, restarted = _upstream("x", 1), _upstream("x", 2)
     table.take_hint("e2", {}, [earlier], {earlier.identity: 0})
     table.take_hint("e2", {earlier.identity: Load(400, 0)}, [earlier], {earlier.identity: 9})
     table.suspect(earlier)
     placed = table.place_online([earlier], target_latency=300.0, returned=False)
     assert placed is None
-    run = table.place_batch([now], urgency=BatchUrgency.ORDINARY, due=0.0)
+    run = table.place_batch([restarted], urgency=BatchUrgency.ORDINARY, due=0.0)
     assert run is not None
     table.end_batch(*run)
-    table.restarted(now)
+    table.restarted(restarted)
     table.suspect(earlier)
-    placed = table.place_online([now], target_latency=300.0, returned=False)
+    placed = table.place_online([restarted], target_latency=300.0, returned=False)
     assert placed is not None
     assert placed.load == Load()
-    assert table.own_loads() == {now.identity: Load(1, 0)}
-    table.forget({now.identity})
+    assert table.own_loads() == {restarted.identity: Load(1, 0)}
+    table.forget({restarted.identity})
     assert table.own_failures() == {}
 
 
-def test_hints_of_the_version_before_count_until_a_restart_is_seen() -> None:
-    """While two versions run, entries of the older one tell their loads by the bare id. They count
-    for the start that is known, so that upstreams are not overfilled, but no longer once that
-    upstream has started again; their failures never count for a known start."""
+def test_hints_of_the_previous_version_count_until_the_upstream_restarts() -> None:
+    """Entries of the previous version report loads by instance id, without a start time. The loads
+    count for the known start, so that upstreams are not overfilled, until that upstream restarts.
+    Their failures never count for a start that is known."""
     clock = _Clock()
     table = LoadTable(clock, "z", name="e1")
     first, second, other = _upstream("x", 1), _upstream("x", 2), _upstream("y")
-    told = {"x": Load(400, 0), "y": Load(1, 0)}
+    loads = {"x": Load(400, 0), "y": Load(1, 0)}
     for failures in ({"x": 0, "y": 0}, {"x": 5, "y": 5}):
-        table.take_hint("e2", told, [first, other], failures, knows_starts=False)
+        table.take_hint("e2", loads, [first, other], failures, knows_starts=False)
     assert table.place_online([first], target_latency=300.0, returned=False) is None
     assert "x:400+0/8 y!:1+0/8" in table.describe([first, other]).replace(",", " ")
     table.restarted(second)
-    table.take_hint("e2", told, [second, other], {}, knows_starts=False)
+    table.take_hint("e2", loads, [second, other], {}, knows_starts=False)
     assert "x:0+0/8 y!:1+0/8" in table.describe([second, other]).replace(",", " ")
 
 
-def test_a_request_goes_to_far_upstreams_when_the_near_ones_are_full_or_suspects() -> None:
-    """The upstreams of this entry's group are full, or have all failed, while others are idle."""
+def test_a_request_goes_to_far_upstreams_when_the_near_ones_are_full_or_suspect() -> None:
+    """The upstreams of the entry's own group are full or have failed, while others are idle."""
     clock = _Clock()
     table = LoadTable(clock, "z", name="e1")
     near, far = _upstream("near"), _upstream("far")
@@ -123,9 +123,9 @@
     assert table.place_online([near], target_latency=300.0, returned=False, far=[far]) is None
 
 
-def test_a_second_try_does_not_go_where_requests_have_failed_of_late() -> None:
-    """An upstream is tried again a second after a failure. A request whose first try has failed met
-    it there, failed once more, and was cut off at its deadline."""
+def test_a_second_try_avoids_an_upstream_with_recent_failures() -> None:
+    """First attempts may go to an upstream again a second after its failure. Guards against sending
+    a second attempt there as well: it failed again, and the request missed its deadline."""
     clock = _Clock()
     table = LoadTable(clock, "z", name="e1")
     slow, good = _upstream("slow"), _upstream("good")
@@ -134,8 +134,8 @@
     clock.at = SUSPECT_TIME + 1.0
     first = table.place_online([slow, good], target_latency=300.0, returned=False)
     assert first is not None and first.upstream is slow
-    met = frozenset({"another"})
-    second = table.place_online([slow, good], target_latency=300.0, returned=True, excluded=met)
+    tried = frozenset({"another"})
+    second = table.place_online([slow, good], target_latency=300.0, returned=True, excluded=tried)
     assert second is not None and second.upstream is good
-    alone = table.place_online([slow], target_latency=300.0, returned=True, excluded=met)
-    assert alone is not None
+    only_choice = table.place_online([slow], target_latency=300.0, returned=True, excluded=tried)
+    assert only_choice is not None
