--- a/packages/node/src/carobspool_node/direct/_announcement.py
+++ b/packages/node/src/carobspool_node/direct/_announcement.py
@@ -1,4 +1,4 @@
-"""Writing what an entry tells of itself, for entries of this version and of the one before."""
+"""Encode announcements, for entries of this version and of the previous one."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 
 class Sender(Struct, frozen=True, kw_only=True):
-    """Who tells.
+    """The entry that sends hints.
 
     Attributes:
         name: Name of the entry.
-        incarnation: Of its process.
-        address: Where it takes hints and calls.
+        incarnation: Incarnation of the entry's process.
+        address: Address at which the entry receives hints and calls.
     """
 
     name: str
@@ -36,22 +36,22 @@
     silent: Sequence[str],
     ended: Sequence[str],
 ) -> bytes:
-    """Return an announcement for entries of this version.
+    """Encode an announcement for entries of this version.
 
     Args:
-        sender: Who tells.
-        hint: What it tells.
+        sender: The sending entry.
+        hint: Content of the announcement.
         sequence: Grows with each hint.
-        silent: Peers that it does not hear.
-        ended: Jobs that it has ended in the store of late.
+        silent: Names of peers that the sender does not hear.
+        ended: Ids of jobs that the sender has recently ended in the store.
     """
-    message = _common(sender, hint, sequence)
+    message = _common_fields(sender, hint, sequence)
     message |= {"k": pack_loads(hint.loads), "w": dict(hint.waiting)}
     message |= {"q": list(silent), "d": list(ended), "g": pack_counts(hint.counts)}
-    return cbor2.dumps(message | _jobs(hint))
+    return cbor2.dumps(message | _job_fields(hint))
 
 
-def encode_for_version_before(
+def encode_announcement_for_previous_version(
     sender: Sender,
     hint: OwnHint,
     *,
@@ -59,11 +59,13 @@
     silent: Sequence[str],
     ended: Sequence[str],
 ) -> bytes:
-    """Return an announcement that entries of the version before understand too."""
-    # By the bare id with the starts beside it.
+    """Encode an announcement in the format of the previous version.
+
+    Loads are keyed by the upstream's instance id, with start times in a field of their own.
+    """
     starts = latest_starts([*hint.loads, *hint.failures])
     loads = by_instance(hint.loads, starts)
-    message = _common(sender, hint, sequence)
+    message = _common_fields(sender, hint, sequence)
     message |= {
         "l": {key: [load.online, load.batch] for key, load in loads.items()},
         "b": starts,
@@ -71,10 +73,10 @@
         "q": list(silent),
         "d": list(ended),
     }
-    return cbor2.dumps(message | _jobs(hint))
+    return cbor2.dumps(message | _job_fields(hint))
 
 
-def _common(sender: Sender, hint: OwnHint, sequence: int) -> dict[str, Any]:
+def _common_fields(sender: Sender, hint: OwnHint, sequence: int) -> dict[str, Any]:
     starts = latest_starts([*hint.loads, *hint.failures])
     return {
         "n": sender.name,
@@ -92,5 +94,5 @@
     }
 
 
-def _jobs(hint: OwnHint) -> dict[str, Any]:
+def _job_fields(hint: OwnHint) -> dict[str, Any]:
     return {"j": sorted(hint.open_jobs), "f": sorted(hint.done_jobs)}
--- a/packages/node/src/carobspool_node/direct/_hint_receiver.py
+++ b/packages/node/src/carobspool_node/direct/_hint_receiver.py
@@ -1,4 +1,4 @@
-"""Receiving of hints: what a datagram says goes to the table of peers and to whoever uses it."""
+"""Receive hints from peers and pass them to the table of peers and to event callbacks."""
 
 from __future__ import annotations
 
@@ -28,26 +28,37 @@
 from carobspool_node.direct._peer_table import PeerTable
 from carobspool_node.organisations import unpack_counts
 
-MAX_DATAGRAM = 60_000
-GATHER: Millis = 8.0
-"""Time in which hints are gathered before they are taken together. Dozens of entries send hundreds
-of them a second, and each waking of the process costs more than what a hint says."""
-MOST_AT_ONCE = 1_000
-"""Hints taken together; what a second brings from hundreds of entries."""
+MAX_DATAGRAM_BYTES = 60_000
+BATCH_WINDOW: Millis = 8.0
+"""Time for which hints are collected before they are processed as a batch. Dozens of entries send
+hundreds of hints a second, and each wake-up of the process costs more than reading a hint."""
+MAX_BATCH_HINTS = 1_000
+"""Most hints in a batch: about as many as hundreds of entries send in a second."""
 
-OnLoads = Callable[[str, Mapping[str, Load], Mapping[str, int] | None, bool], None]
-"""Takes a peer's name, what it has in flight, the failures that it has seen if it tells them, both
-by the upstream's identity, and whether it knows upstreams' starts; if not, both come by the bare
-id."""
-OnBacklog = Callable[[str, Sequence[WaitingGroup]], None]
-"""Takes a peer's name and the batch items that wait there."""
+LoadsCallback = Callable[[str, Mapping[str, Load], Mapping[str, int] | None, bool], None]
+"""Takes a peer's name, its requests in flight, the failures that it has seen, ``None`` if the hint
+reports none, and whether the peer knows start times of upstreams. Loads and failures are keyed by
+the upstream's identity, or by its instance id if the peer does not know start times."""
+BacklogCallback = Callable[[str, Sequence[WaitingGroup]], None]
+"""Takes a peer's name and the batch items that wait at the peer."""
 
 
 class PeerEvents(Struct, frozen=True, kw_only=True):
-    """What is done with what peers tell, and with their silence."""
+    """Callbacks for the content of peers' hints and for silent peers.
+
+    Attributes:
+        loads: Takes a peer's loads and failures.
+        backlog: Takes the batch items that wait at a peer.
+        versions: Takes a peer's name and the versions that the peer has seen.
+        lost: Takes a peer whose jobs need new owners.
+        gone: Takes a peer that is not expected to come back.
+        ended: Takes the ids of jobs that a peer has ended in the store.
+        counts: Takes a peer's name, its incarnation and the requests that it has admitted, by the
+            organisation's key.
+    """
 
-    loads: OnLoads = lambda peer, loads, failures, knows_starts: None
-    backlog: OnBacklog = lambda peer, groups: None
+    loads: LoadsCallback = lambda peer, loads, failures, knows_starts: None
+    backlog: BacklogCallback = lambda peer, groups: None
     versions: Callable[[str, Mapping[str, int]], None] = lambda peer, versions: None
     lost: Callable[[Peer], None] = lambda peer: None
     gone: Callable[[Peer], None] = lambda peer: None
@@ -56,13 +67,13 @@
 
 
 class HintReceiver:
-    """Takes the hints of other entries.
+    """Receives and decodes the hints of other entries.
 
     Args:
-        hints: Socket on which they come.
-        table: Who the peers are.
+        hints: Socket on which hints arrive.
+        table: Table of the peers.
         identities_by_key: Returns the upstreams that load hints may name.
-        bad_hints: Tells of datagrams that are no hints.
+        bad_hints: Logs and counts invalid datagrams.
     """
 
     def __init__(
@@ -80,38 +91,38 @@
         self._stopped = threading.Event()
 
     def start(self, events: PeerEvents) -> None:
-        """Start to receive.
+        """Start the receiving thread.
 
         Args:
-            events: What is done with what peers tell.
+            events: Callbacks for received hints.
         """
         self._events = events
-        threading.Thread(target=self._loop, name="hints-in", daemon=True).start()
+        threading.Thread(target=self._receive_loop, name="hints-in", daemon=True).start()
 
     def stop(self) -> None:
-        """Take an error of the socket for its end."""
+        """Let the receiving thread end at the next socket error."""
         self._stopped.set()
 
     def receive(self, message: Json) -> None:
-        """Take one decoded hint.
+        """Apply one decoded hint.
 
         Raises:
-            UnusableRecordError: It is none.
+            UnusableRecordError: The message is not a valid hint.
         """
         loads = read_load_hint(message)
         if loads is not None:
-            self._receive_loads(loads)
+            self._apply_load_hint(loads)
             return
         counts = read_counts_hint(message)
         if counts is not None:
-            self._receive_counts(counts)
+            self._apply_counts_hint(counts)
             return
-        self._receive_announcement(read_record(Announcement, message))
+        self._apply_announcement(read_record(Announcement, message))
 
-    def _loop(self) -> None:
+    def _receive_loop(self) -> None:
         while True:
             try:
-                received = self._await_hints()
+                received = self._receive_batch()
             except OSError as error:
                 if self._stopped.is_set():
                     return
@@ -120,13 +131,13 @@
             for data, sender in received:
                 self._receive_datagram(data, sender)
 
-    def _await_hints(self) -> list[tuple[bytes, tuple[str, int]]]:
-        """Return the hints that come within `GATHER` of the next one."""
-        received = [self._socket.recvfrom(MAX_DATAGRAM)]
-        time.sleep(GATHER / 1000.0)
+    def _receive_batch(self) -> list[tuple[bytes, tuple[str, int]]]:
+        """Wait for a hint; return it with those that arrive within `BATCH_WINDOW` after it."""
+        received = [self._socket.recvfrom(MAX_DATAGRAM_BYTES)]
+        time.sleep(BATCH_WINDOW / 1000.0)
         with contextlib.suppress(BlockingIOError):
-            while len(received) < MOST_AT_ONCE:
-                received.append(self._socket.recvfrom(MAX_DATAGRAM, socket.MSG_DONTWAIT))
+            while len(received) < MAX_BATCH_HINTS:
+                received.append(self._socket.recvfrom(MAX_DATAGRAM_BYTES, socket.MSG_DONTWAIT))
         return received
 
     def _receive_datagram(self, data: bytes, sender: tuple[str, int]) -> None:
@@ -135,48 +146,48 @@
         except UnusableRecordError as error:
             self._bad_hints.tell(f"{sender[0]}:{sender[1]}", error)
         except Exception:  # noqa: BLE001
-            # Whatever one hint causes, the next ones must be heard: a deaf entry takes all
-            # others for dead and runs their jobs again.
+            # An error in one hint must not stop the thread: an entry that receives no hints
+            # declares all peers dead and runs their jobs again.
             logging.exception("event=hint_failed")
 
-    def _receive_loads(self, told: LoadHint) -> None:
-        if not self._table.receive_small(told):
+    def _apply_load_hint(self, hint: LoadHint) -> None:
+        if not self._table.record_hint(hint):
             return
-        self._events.backlog(told.name, told.backlog)
-        self._events.loads(told.name, self._known(told.loads), None, True)
-        self._events.counts(told.name, told.incarnation, told.counts)
-
-    def _receive_counts(self, told: CountsHint) -> None:
-        if self._table.receive_small(told):
-            self._events.counts(told.name, told.incarnation, told.counts)
-
-    def _receive_announcement(self, told: Announcement) -> None:
-        packed = unpack_loads(told.packed_loads)
-        counts = unpack_counts(told.packed_counts or b"")
-        lost = self._table.receive(told)
+        self._events.backlog(hint.name, hint.backlog)
+        self._events.loads(hint.name, self._by_known_identity(hint.loads), None, True)
+        self._events.counts(hint.name, hint.incarnation, hint.counts)
+
+    def _apply_counts_hint(self, hint: CountsHint) -> None:
+        if self._table.record_hint(hint):
+            self._events.counts(hint.name, hint.incarnation, hint.counts)
+
+    def _apply_announcement(self, announcement: Announcement) -> None:
+        packed = unpack_loads(announcement.packed_loads)
+        counts = unpack_counts(announcement.packed_counts or b"")
+        lost = self._table.apply_announcement(announcement)
         if lost is not None:
             self._events.lost(lost)
-        self._events.ended(told.ended)
-        groups = [WaitingGroup(float(turn), count) for turn, count in told.backlog]
-        self._events.backlog(told.name, groups)
-        self._receive_all_loads(told, packed, counts)
-        self._events.versions(told.name, told.versions)
-
-    def _receive_all_loads(
-        self, told: Announcement, packed: Mapping[int, Load], counts: Mapping[int, int]
+        self._events.ended(announcement.ended)
+        groups = [WaitingGroup(float(turn), count) for turn, count in announcement.backlog]
+        self._events.backlog(announcement.name, groups)
+        self._apply_announced_loads(announcement, packed, counts)
+        self._events.versions(announcement.name, announcement.versions)
+
+    def _apply_announced_loads(
+        self, announcement: Announcement, packed: Mapping[int, Load], counts: Mapping[int, int]
     ) -> None:
-        starts = told.starts or {}
-        failures = by_identity(told.failures, starts)
-        if told.sequence is not None and not self._table.is_newest(
-            told.name, told.incarnation, told.sequence
+        starts = announcement.starts or {}
+        failures = by_identity(announcement.failures, starts)
+        if announcement.sequence is not None and not self._table.advance_sequence(
+            announcement.name, announcement.incarnation, announcement.sequence
         ):
-            # A load hint sent after it has come before it.
+            # A load hint that was sent later has already arrived.
             return
-        loads = by_identity({key: Load(*pair) for key, pair in told.loads.items()}, starts)
-        loads |= self._known(packed)
-        self._events.loads(told.name, loads, failures, told.starts is not None)
-        self._events.counts(told.name, told.incarnation, counts)
+        loads = by_identity({key: Load(*pair) for key, pair in announcement.loads.items()}, starts)
+        loads |= self._by_known_identity(packed)
+        self._events.loads(announcement.name, loads, failures, announcement.starts is not None)
+        self._events.counts(announcement.name, announcement.incarnation, counts)
 
-    def _known(self, loads: Mapping[int, Load]) -> dict[str, Load]:
+    def _by_known_identity(self, loads: Mapping[int, Load]) -> dict[str, Load]:
         identities = self._identities_by_key()
         return {identities[key]: load for key, load in loads.items() if key in identities}
--- a/packages/node/src/carobspool_node/direct/_hint_sender.py
+++ b/packages/node/src/carobspool_node/direct/_hint_sender.py
@@ -1,4 +1,4 @@
-"""Sends hints to the other entries: each gets the form that it reads."""
+"""Send hints to the other entries, to each in a format that it can read."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from carobspool_node.direct._announcement import (
     Sender,
     encode_announcement,
-    encode_for_version_before,
+    encode_announcement_for_previous_version,
 )
 from carobspool_node.direct._load_hint import encode_counts_hint, encode_load_hint
 from carobspool_node.direct._peer import OwnHint
@@ -20,9 +20,10 @@
 
 Address = tuple[str, int]
 
-COUNTS_GAP: Millis = 2.0
-"""Time between two hints of counts to entries that share no upstream, for each of these. They are
-told for the limits alone, which bear that, and heartbeats tell them all."""
+COUNTS_INTERVAL_PER_ENTRY: Millis = 2.0
+"""Least time between two counts hints to the entries that share no upstream with this one, for each
+such entry. They need the counts only for request limits, which tolerate the delay, and heartbeats
+carry all counts."""
 
 
 class HintSender:
@@ -30,14 +31,14 @@
 
     Args:
         clock: The process's clock.
-        sock: Where they are sent from.
-        sender: Who this entry is.
+        sock: Socket from which hints are sent.
+        sender: Name, incarnation and address of this entry.
     """
 
     def __init__(self, clock: Clock, sock: socket.socket, sender: Sender) -> None:
         self._clock = clock
         self._socket = sock
-        self._counts_told: Millis = float("-inf")
+        self._counts_sent_at: Millis = float("-inf")
         self._sender = sender
         self._lock = threading.Lock()
         self._sequence = 0
@@ -51,19 +52,19 @@
         silent: Sequence[str],
         ended: Sequence[str],
     ) -> None:
-        """Send all that is told.
+        """Send an announcement.
 
         Args:
-            hint: What this entry tells of itself.
-            current: Entries that read load hints.
-            others: Entries of the version before.
-            silent: Peers that this entry does not hear.
-            ended: Jobs that it has ended in the store of late.
+            hint: Content of the announcement.
+            current: Addresses of entries that read load hints.
+            others: Addresses of all other entries, which get the format of the previous version.
+            silent: Names of peers that this entry does not hear.
+            ended: Ids of jobs that this entry has recently ended in the store.
         """
         sequence = self._next_sequence()
         for addresses, encode in (
             (list(current), encode_announcement),
-            (list(others), encode_for_version_before),
+            (list(others), encode_announcement_for_previous_version),
         ):
             if addresses:
                 data = encode(self._sender, hint, sequence=sequence, silent=silent, ended=ended)
@@ -78,31 +79,32 @@
         targets: Targets,
         sharers: frozenset[str] | None,
     ) -> None:
-        """Send what is in flight here and what was admitted.
+        """Send load hints and counts hints.
 
         Args:
-            loads: By the upstream's identity.
-            backlog: Batch items that wait here.
-            counts: Requests admitted, by the organisation's key; only what has changed.
-            targets: Where the other entries are.
-            sharers: Those that use the same upstreams, ``None`` for all; only these are told loads.
+            loads: Requests in flight at this entry, by the upstream's identity.
+            backlog: Batch items that wait at this entry.
+            counts: Changed counts of admitted requests, by the organisation's key.
+            targets: Addresses of the other entries.
+            sharers: Entries that use the same upstreams, ``None`` for all; only these get loads.
         """
         sequence = self._next_sequence()
-        told = targets.told_loads(sharers)
-        reading = told & targets.counting if counts else frozenset()
-        self._send_loads(loads, backlog, {}, sequence, _addresses(targets, told - reading))
-        self._send_loads(loads, backlog, counts, sequence, _addresses(targets, reading))
-        rest = targets.counting - told
-        if counts and rest and self._may_tell_counts(len(rest)):
+        recipients = targets.load_recipients(sharers)
+        with_counts = recipients & targets.counting if counts else frozenset()
+        without_counts = recipients - with_counts
+        self._send_load_hint(loads, backlog, {}, sequence, _addresses(targets, without_counts))
+        self._send_load_hint(loads, backlog, counts, sequence, _addresses(targets, with_counts))
+        counts_only = targets.counting - recipients
+        if counts and counts_only and self._admit_counts_hint(len(counts_only)):
             data = encode_counts_hint(
                 name=self._sender.name,
                 incarnation=self._sender.incarnation,
                 sequence=sequence,
                 counts=counts,
             )
-            self._send(data, _addresses(targets, rest))
+            self._send(data, _addresses(targets, counts_only))
 
-    def _send_loads(
+    def _send_load_hint(
         self,
         loads: Mapping[str, Load],
         backlog: Sequence[WaitingGroup],
@@ -122,11 +124,12 @@
         )
         self._send(data, addresses)
 
-    def _may_tell_counts(self, entries: int) -> bool:
+    def _admit_counts_hint(self, entries: int) -> bool:
+        """Return whether a counts hint may be sent now, and restart its interval if so."""
         now = self._clock.now()
-        if now - self._counts_told < entries * COUNTS_GAP:
+        if now - self._counts_sent_at < entries * COUNTS_INTERVAL_PER_ENTRY:
             return False
-        self._counts_told = now
+        self._counts_sent_at = now
         return True
 
     def _next_sequence(self) -> int:
--- a/packages/node/src/carobspool_node/direct/_load_hint.py
+++ b/packages/node/src/carobspool_node/direct/_load_hint.py
@@ -1,9 +1,9 @@
-"""The small hint: what an entry has in flight, told at each change, and the heartbeat.
+"""Encode and decode load hints and counts hints.
 
-It is most of what entries send each other, so it names upstreams by a key of four bytes and the
-sender by what its announcements have told. Loads of an upstream that the reader does not know, or
-whose key two of its upstreams share, are left out until the next announcement, which names them in
-full.
+A load hint carries an entry's requests in flight. It is sent at each change and as the heartbeat.
+Most of the traffic between entries consists of load hints, so they name an upstream by a key of
+four bytes and the sender only by its name and incarnation. The reader skips the load of an upstream
+that it does not know, or whose key two of its upstreams share.
 """
 
 from __future__ import annotations
@@ -19,25 +19,26 @@
 from carobspool_core.problems import Problem, UnusableRecordError
 from carobspool_node.organisations import pack_counts, unpack_counts
 
-_KIND = "l"
-_COUNTS_KIND = "u"
-_LOADS = struct.Struct(">IHH")
-_GROUPS = struct.Struct(">IH")
-_MOST = 0xFFFF
-_LONGEST = 0xFFFFFFFF
+_LOAD_HINT_KIND = "l"
+_COUNTS_HINT_KIND = "u"
+_LOAD_STRUCT = struct.Struct(">IHH")
+_GROUP_STRUCT = struct.Struct(">IH")
+_MAX_UINT16 = 0xFFFF
+_MAX_UINT32 = 0xFFFFFFFF
 MAX_SEQUENCE = 2**53
 
 
 class LoadHint(Struct, frozen=True, kw_only=True):
-    """What another entry has in flight.
+    """Requests in flight at another entry.
 
     Attributes:
-        name: Its name.
-        incarnation: Of its process.
-        sequence: Grows with each hint of the process; an older one that comes late says nothing.
-        loads: By the upstream's key.
-        backlog: The batch items that wait there.
-        counts: Requests that it has admitted, by the organisation's key; only what has changed.
+        name: Name of the sender.
+        incarnation: Incarnation of the sender's process.
+        sequence: Grows with each hint of the process; a hint that a newer one overtook is ignored.
+        loads: Requests in flight, by the upstream's key.
+        backlog: Batch items that wait at the sender.
+        counts: Changed counts of the requests that the sender has admitted, by the organisation's
+            key.
     """
 
     name: str
@@ -49,7 +50,7 @@
 
 
 class CountsHint(Struct, frozen=True, kw_only=True):
-    """What another entry has admitted, told to entries that share no upstream with it."""
+    """Request counts of another entry, for entries that share no upstream with the sender."""
 
     name: str
     incarnation: str
@@ -58,22 +59,24 @@
 
 
 def pack_loads(loads: Mapping[str, Load]) -> bytes:
-    """Return loads by the upstream's identity as bytes."""
+    """Pack loads, which are given by the upstream's identity, into bytes."""
     return b"".join(
-        _LOADS.pack(key_of(identity), min(load.online, _MOST), min(load.batch, _MOST))
+        _LOAD_STRUCT.pack(
+            key_of(identity), min(load.online, _MAX_UINT16), min(load.batch, _MAX_UINT16)
+        )
         for identity, load in loads.items()
     )
 
 
 def unpack_loads(packed: bytes) -> dict[int, Load]:
-    """Return loads by the upstream's key.
+    """Unpack loads by the upstream's key.
 
     Raises:
-        UnusableRecordError: The bytes are no loads.
+        UnusableRecordError: The length is not a multiple of a record's length.
     """
-    if len(packed) % _LOADS.size:
-        raise _unusable("loads", f"{len(packed)} bytes", f"records of {_LOADS.size} bytes")
-    return {key: Load(online, batch) for key, online, batch in _LOADS.iter_unpack(packed)}
+    if len(packed) % _LOAD_STRUCT.size:
+        raise _unusable("loads", f"{len(packed)} bytes", f"records of {_LOAD_STRUCT.size} bytes")
+    return {key: Load(online, batch) for key, online, batch in _LOAD_STRUCT.iter_unpack(packed)}
 
 
 def encode_load_hint(
@@ -85,11 +88,12 @@
     backlog: Iterable[WaitingGroup],
     counts: Mapping[int, int] | None = None,
 ) -> bytes:
-    """Return a datagram; entries of the version before read none that tells counts."""
+    """Encode a load hint. Entries of the previous version reject a load hint with counts."""
     groups = b"".join(
-        _GROUPS.pack(min(int(group.turn), _LONGEST), min(group.items, _MOST)) for group in backlog
+        _GROUP_STRUCT.pack(min(int(group.turn), _MAX_UINT32), min(group.items, _MAX_UINT16))
+        for group in backlog
     )
-    message = [_KIND, name, incarnation, sequence, pack_loads(loads), groups]
+    message = [_LOAD_HINT_KIND, name, incarnation, sequence, pack_loads(loads), groups]
     if counts:
         message.append(pack_counts(counts))
     return cbor2.dumps(message)
@@ -98,18 +102,21 @@
 def encode_counts_hint(
     *, name: str, incarnation: str, sequence: int, counts: Mapping[int, int]
 ) -> bytes:
-    """Return a datagram that tells counts alone."""
-    return cbor2.dumps([_COUNTS_KIND, name, incarnation, sequence, pack_counts(counts)])
+    """Encode a counts hint."""
+    return cbor2.dumps([_COUNTS_HINT_KIND, name, incarnation, sequence, pack_counts(counts)])
 
 
 def read_load_hint(message: Json) -> LoadHint | None:
-    """Return a decoded datagram as a load hint, ``None`` when it is of another kind.
+    """Read a decoded datagram as a load hint.
+
+    Returns:
+        The load hint, or ``None`` if the datagram is of another kind.
 
     Raises:
-        UnusableRecordError: It is a load hint that cannot be used.
+        UnusableRecordError: The load hint is invalid.
     """
     match message:
-        case [str() as kind, *_] if kind == _KIND:
+        case [str() as kind, *_] if kind == _LOAD_HINT_KIND:
             pass
         case _:
             return None
@@ -123,10 +130,11 @@
             bytes() as groups,
             *counts,
         ] if (
-            0 <= sequence <= MAX_SEQUENCE and len(groups) % _GROUPS.size == 0
+            0 <= sequence <= MAX_SEQUENCE and len(groups) % _GROUP_STRUCT.size == 0
         ):
             backlog = [
-                WaitingGroup(float(turn), items) for turn, items in _GROUPS.iter_unpack(groups)
+                WaitingGroup(float(turn), items)
+                for turn, items in _GROUP_STRUCT.iter_unpack(groups)
             ]
             return LoadHint(
                 name=name,
@@ -134,28 +142,31 @@
                 sequence=sequence,
                 loads=unpack_loads(loads),
                 backlog=backlog,
-                counts=_counts(counts),
+                counts=_read_counts(counts),
             )
     raise _unusable("(body)", repr(message)[:80], "a load hint")
 
 
 def read_counts_hint(message: Json) -> CountsHint | None:
-    """Return a decoded datagram as counts alone, ``None`` when it is of another kind.
+    """Read a decoded datagram as a counts hint.
+
+    Returns:
+        The counts hint, or ``None`` if the datagram is of another kind.
 
     Raises:
-        UnusableRecordError: It tells counts that cannot be used.
+        UnusableRecordError: The counts are invalid.
     """
     match message:
         case [str() as kind, str() as name, str() as incarnation, int() as sequence, packed] if (
-            kind == _COUNTS_KIND and 0 <= sequence <= MAX_SEQUENCE
+            kind == _COUNTS_HINT_KIND and 0 <= sequence <= MAX_SEQUENCE
         ):
             return CountsHint(
-                name=name, incarnation=incarnation, sequence=sequence, counts=_counts([packed])
+                name=name, incarnation=incarnation, sequence=sequence, counts=_read_counts([packed])
             )
     return None
 
 
-def _counts(rest: Sequence[Json]) -> dict[int, int]:
+def _read_counts(rest: Sequence[Json]) -> dict[int, int]:
     match rest:
         case []:
             return {}
--- a/packages/node/src/carobspool_node/direct/_membership.py
+++ b/packages/node/src/carobspool_node/direct/_membership.py
@@ -85,11 +85,11 @@
 
     def versions(self) -> Mapping[str, int]:
         """Return what is known of the entries, as a number for the others."""
-        return {NAMES: self._peers.digest_of_names()}
+        return {NAMES: self._peers.names_digest()}
 
     def compare(self, versions: Mapping[str, int]) -> None:
         """Read the list again when another process knows other entries for long."""
-        self._names.version = self._peers.digest_of_names()
+        self._names.version = self._peers.names_digest()
         digest = versions.get(NAMES, 0)
         if digest and self._names.differs(digest, self._clock.now()):
             self._entries.refresh()
--- a/packages/node/src/carobspool_node/direct/_peer.py
+++ b/packages/node/src/carobspool_node/direct/_peer.py
@@ -1,4 +1,4 @@
-"""Another entry as this one knows it, and what this one tells of itself."""
+"""Define what an entry knows of a peer, and the content of its own announcements."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 
 
 class Peer(Struct, kw_only=True):
-    """Another entry, by its last hints.
+    """Another entry, as its last hints describe it.
 
     Attributes:
-        name: Its name.
-        incarnation: Changes with each start of its process.
-        address: Where it takes hints and calls.
-        heard: When its last hint came.
-        open_jobs: Jobs that it works on.
-        done_jobs: Finished jobs that it answers for.
+        name: Name of the peer.
+        incarnation: Identifier of the peer's process; each start has another.
+        address: Address at which the peer receives hints and calls.
+        heard: Time at which its last hint arrived.
+        open_jobs: Jobs that the peer works on.
+        done_jobs: Finished jobs whose results the peer serves.
         waiting: Waiting tokens by route.
-        versions: What it has seen of the configuration and of the upstreams.
-        leaving: Whether it is shutting down.
-        store_ok: Whether the store answered it when it last asked.
-        answer_age: How long before its last announcement that was.
-        sequence: Of its newest hint.
-        is_current: Whether it reads load hints.
-        reads_counts: Whether it reads hints that tell counts of requests.
+        versions: Versions of the configuration and of the upstreams that the peer has seen.
+        leaving: Whether the peer is shutting down.
+        store_ok: Whether the store answered the peer's last call.
+        answer_age: Time from the store's last answer to the peer's last announcement.
+        sequence: Sequence number of the newest hint.
+        is_current: Whether the peer reads load hints.
+        reads_counts: Whether the peer reads hints that carry request counts.
     """
 
     name: str
@@ -47,16 +47,16 @@
 
     @property
     def identity(self) -> str:
-        """Name and incarnation."""
+        """Name and incarnation of the peer."""
         return f"{self.name}#{self.incarnation}"
 
     def answers_for(self, job_id: str) -> bool:
-        """Whether it works on a job or can tell its results."""
+        """Whether the peer works on a job or serves its results."""
         return job_id in self.open_jobs or job_id in self.done_jobs
 
 
 class OwnHint(Struct, frozen=True, kw_only=True):
-    """What an entry tells of itself."""
+    """Content of this entry's announcements."""
 
     loads: Mapping[str, Load]
     failures: Mapping[str, int]
--- a/packages/node/src/carobspool_node/direct/_peer_table.py
+++ b/packages/node/src/carobspool_node/direct/_peer_table.py
@@ -1,4 +1,4 @@
-"""Who the other entries are, which of them live, and what their silence means."""
+"""Track the other entries, which of them are live, and which have been silent for too long."""
 
 from __future__ import annotations
 
@@ -20,34 +20,34 @@
 
 
 class Targets(Struct, frozen=True, kw_only=True):
-    """Where hints go.
+    """Addresses to which hints are sent.
 
     Attributes:
         current: Addresses of live entries that read load hints, by name.
-        counting: The names of those that read counts of requests too.
-        others: Addresses of entries of the version before, and of those of which nothing is heard.
+        counting: Names of those entries that read request counts too.
+        others: Addresses of entries of the previous version, and of entries that are not heard.
     """
 
     current: Mapping[str, tuple[str, int]]
     counting: frozenset[str]
     others: Sequence[tuple[str, int]]
 
-    def told_loads(self, sharers: frozenset[str] | None) -> frozenset[str]:
-        """Return the names of those that are told a change of loads.
+    def load_recipients(self, sharers: frozenset[str] | None) -> frozenset[str]:
+        """Return the names of the entries to which a change of loads is sent.
 
         Args:
-            sharers: Entries that use the same upstreams, ``None`` for all.
+            sharers: Entries that use the same upstreams, ``None`` for all entries.
         """
         names = frozenset(self.current)
         return names if sharers is None else names & sharers
 
 
-class Losses(Struct, frozen=True, kw_only=True):
-    """What silence has shown.
+class SilentPeers(Struct, frozen=True, kw_only=True):
+    """Peers that a check for silence has newly found.
 
     Attributes:
         lost: Peers whose jobs need new owners.
-        gone: Peers that do not come back.
+        gone: Peers that are not expected to come back.
     """
 
     lost: Sequence[Peer] = ()
@@ -55,10 +55,10 @@
 
 
 class PeerTable:
-    """The other entries; safe for threads.
+    """The other entries by name; safe for threads.
 
     Args:
-        clock: A clock that goes on while the machine is suspended.
+        clock: A clock that keeps running while the host is suspended.
         name: Name of this entry.
     """
 
@@ -68,42 +68,42 @@
         self._lock = threading.Lock()
         self._peers: dict[str, Peer] = {}
         self._addresses: dict[str, tuple[str, int]] = {}
-        self._names: int | None = None
-        self._newcomers: set[str] = set()
+        self._names_digest: int | None = None
+        self._new_peers: set[str] = set()
         self._liveness = Liveness(clock.now())
 
     @property
     def doubt_until(self) -> Millis:
-        """Until when others may have acted on jobs of this entry without its knowledge."""
+        """Time until which peers may have acted on this entry's jobs without its knowledge."""
         return self._liveness.doubt_until
 
     def set_address(self, name: str, address: tuple[str, int] | None) -> None:
-        """Take or drop a peer's address from the list of entries."""
+        """Set a peer's address as the store lists it, or remove it with ``None``."""
         if name == self._name:
             return
         with self._lock:
-            self._names = None
+            self._names_digest = None
             if address is None:
                 self._addresses.pop(name, None)
             else:
                 self._addresses[name] = address
 
-    def digest_of_names(self) -> int:
-        """Return a number that differs when the entries known, living or not, differ."""
+    def names_digest(self) -> int:
+        """Return a digest of the names of all known entries, live or not."""
         with self._lock:
-            if self._names is None:
+            if self._names_digest is None:
                 names = sorted((*self._addresses, self._name))
-                self._names = xxh3_64_intdigest("\n".join(names).encode())
-            return self._names
+                self._names_digest = xxh3_64_intdigest("\n".join(names).encode())
+            return self._names_digest
 
     def live(self) -> list[Peer]:
-        """Return the peers that were heard of late."""
+        """Return the peers heard within `DEAD_AFTER`."""
         now = self._clock.now()
         with self._lock:
             return [each for each in self._peers.values() if now - each.heard < DEAD_AFTER]
 
     def targets(self) -> Targets:
-        """Return where hints go."""
+        """Return the addresses to which hints are sent."""
         now = self._clock.now()
         with self._lock:
             others = dict(self._addresses)
@@ -120,7 +120,7 @@
         return Targets(current=current, counting=frozenset(counting), others=list(others.values()))
 
     def neighbours(self) -> list[Neighbour]:
-        """Return all other entries, those that are only listed included."""
+        """Return all other entries and when they were last heard, including those only listed."""
         with self._lock:
             found = [
                 Neighbour(name=each.name, heard=each.heard, leaving=each.leaving)
@@ -129,15 +129,15 @@
             listed = self._addresses.keys() - self._peers.keys()
         return found + [Neighbour(name=name, heard=None) for name in listed]
 
-    def take_newcomers(self) -> set[str]:
-        """Return the processes that were first heard since the last call."""
+    def pop_new_peers(self) -> set[str]:
+        """Return and clear the names of peers whose process was first heard since the last call."""
         with self._lock:
-            found = self._newcomers
-            self._newcomers = set()
+            found = self._new_peers
+            self._new_peers = set()
         return found
 
     def members(self) -> frozenset[str]:
-        """Return the peers that were heard within the time of a restart and more."""
+        """Return the names of the peers heard within `FORGET_AFTER`, which covers a restart."""
         now = self._clock.now()
         with self._lock:
             return frozenset(
@@ -145,7 +145,7 @@
             )
 
     def silent(self) -> list[str]:
-        """Return the peers that are not heard although they did not leave."""
+        """Return the names of silent peers that did not announce that they leave."""
         now = self._clock.now()
         with self._lock:
             return [
@@ -154,54 +154,65 @@
                 if now - peer.heard > SILENT_AFTER and not peer.leaving
             ]
 
-    def receive(self, told: Announcement) -> Peer | None:
-        """Take an announcement; return a peer whose jobs need new owners, with these jobs."""
+    def apply_announcement(self, announcement: Announcement) -> Peer | None:
+        """Apply an announcement.
+
+        Returns:
+            A peer with the jobs that need new owners, ``None`` if the announcement frees no jobs.
+        """
         now = self._clock.now()
         lost: Peer | None = None
         with self._lock:
-            known = self._peers.get(told.name)
+            known = self._peers.get(announcement.name)
             silence = None
-            if known is not None and known.incarnation == told.incarnation:
+            if known is not None and known.incarnation == announcement.incarnation:
                 silence = now - known.heard
             self._liveness.heard(silence, now)
-            if known is None or known.incarnation != told.incarnation:
+            if known is None or known.incarnation != announcement.incarnation:
                 if known is not None and known.open_jobs:
                     lost = known
                 known = Peer(
-                    name=told.name, incarnation=told.incarnation, address=told.address, heard=now
+                    name=announcement.name,
+                    incarnation=announcement.incarnation,
+                    address=announcement.address,
+                    heard=now,
                 )
-                self._peers[told.name] = known
-                self._newcomers.add(told.name)
+                self._peers[announcement.name] = known
+                self._new_peers.add(announcement.name)
                 logging.info("event=peer_seen peer=%s", shown(known.identity, 2 * MAX_NAME))
             known.heard = now
-            known.address = told.address
-            if told.name not in self._addresses:
-                self._addresses[told.name] = told.address
-                self._names = None
-            known.leaving = told.leaving
-            known.store_ok = told.store_ok
-            known.answer_age = float(told.answer_age)
-            known.versions = told.versions
-            known.is_current = told.sequence is not None
-            known.reads_counts = told.packed_counts is not None
-            if told.open_jobs is not None:
-                known.open_jobs = frozenset(told.open_jobs)
-                known.done_jobs = frozenset(told.done_jobs)
-            if told.open_jobs is not None or known.is_current:
-                known.waiting = told.waiting
-            if self._name in told.silent:
+            known.address = announcement.address
+            if announcement.name not in self._addresses:
+                self._addresses[announcement.name] = announcement.address
+                self._names_digest = None
+            known.leaving = announcement.leaving
+            known.store_ok = announcement.store_ok
+            known.answer_age = float(announcement.answer_age)
+            known.versions = announcement.versions
+            known.is_current = announcement.sequence is not None
+            known.reads_counts = announcement.packed_counts is not None
+            if announcement.open_jobs is not None:
+                known.open_jobs = frozenset(announcement.open_jobs)
+                known.done_jobs = frozenset(announcement.done_jobs)
+            if announcement.open_jobs is not None or known.is_current:
+                known.waiting = announcement.waiting
+            if self._name in announcement.silent:
                 self._liveness.reported_silent(now)
-            if told.released is None and known.leaving and known.open_jobs:
-                # An entry of the version before gives up all its jobs as soon as it leaves.
+            if announcement.released is None and known.leaving and known.open_jobs:
+                # An entry of the previous version releases all its jobs as soon as it leaves.
                 lost = known
-                self._peers[told.name] = _without_jobs(known)
-            elif told.released:
-                # It has committed what it had of these and works on them no more.
-                lost = replace(known, open_jobs=frozenset(told.released))
+                self._peers[announcement.name] = _without_jobs(known)
+            elif announcement.released:
+                # The peer has committed its results of these jobs and has stopped work on them.
+                lost = replace(known, open_jobs=frozenset(announcement.released))
         return lost
 
-    def is_newest(self, name: str, incarnation: str, sequence: int) -> bool:
-        """Take the sequence of a hint; return whether no later one of its process came before."""
+    def advance_sequence(self, name: str, incarnation: str, sequence: int) -> bool:
+        """Record the sequence number of a hint.
+
+        Returns:
+            Whether the hint is newer than all others of its process; false for unknown processes.
+        """
         with self._lock:
             known = self._peers.get(name)
             if known is None or known.incarnation != incarnation or sequence <= known.sequence:
@@ -209,30 +220,37 @@
             known.sequence = sequence
             return True
 
-    def receive_small(self, told: LoadHint | CountsHint) -> bool:
-        """Take a hint of loads or counts; return whether it is the newest of a known process."""
-        if not self.is_newest(told.name, told.incarnation, told.sequence):
+    def record_hint(self, hint: LoadHint | CountsHint) -> bool:
+        """Record the arrival of a load hint or counts hint.
+
+        Returns:
+            Whether the hint is the newest of a known process.
+        """
+        if not self.advance_sequence(hint.name, hint.incarnation, hint.sequence):
             return False
         now = self._clock.now()
         with self._lock:
-            known = self._peers[told.name]
+            known = self._peers[hint.name]
             self._liveness.heard(now - known.heard, now)
             known.heard = now
         return True
 
-    def notice_silence(self) -> Losses:
-        """Judge the silence of each peer; nobody is lost to a pause of this process."""
+    def check_silence(self) -> SilentPeers:
+        """Return the peers that have become lost or gone.
+
+        After a pause of this process no peer is declared lost.
+        """
         now = self._clock.now()
         lost = []
         gone = []
         with self._lock:
             gap = self._liveness.look(now)
             if gap:
-                # Hints that arrived during the pause are still unread; nobody is declared dead.
+                # Hints that arrived during the pause are still unread, so no peer is declared dead.
                 for peer in self._peers.values():
                     peer.heard = max(peer.heard, now - SILENT_AFTER)
                 logging.warning("event=process_stalled gap_ms=%.0f", gap)
-                return Losses()
+                return SilentPeers()
             for peer in list(self._peers.values()):
                 silence = now - peer.heard
                 found = self._liveness.judge(peer.identity, silence, leaving=peer.leaving, now=now)
@@ -250,7 +268,7 @@
                 now - peer.heard,
                 len(peer.open_jobs),
             )
-        return Losses(lost=lost, gone=gone)
+        return SilentPeers(lost=lost, gone=gone)
 
 
 def _without_jobs(peer: Peer) -> Peer:
--- a/packages/node/src/carobspool_node/direct/_peers.py
+++ b/packages/node/src/carobspool_node/direct/_peers.py
@@ -1,12 +1,13 @@
-"""Hints between entries: who lives, what each has in flight, which jobs each works on.
+"""Exchange hints between entries: liveness, requests in flight, and jobs in progress.
 
-Datagrams of CBOR. A lost one is replaced by the next; nothing that must be true rests on them. They
-choose upstreams, tell where a job's results are read without a call to the store, and show that an
-entry has fallen silent, whose jobs another then takes over by conditional write.
+A hint is a CBOR datagram. The next hint makes up for a lost one, and no guarantee depends on hints.
+Entries use them to choose upstreams, to read a job's results from its owner without a store call,
+and to detect a silent entry, whose jobs another entry then takes over by a conditional write.
 
-An announcement tells all that an entry is and holds, when that changes and now and then. Loads
-change far more often and are told at each change, to the entries that use the same upstreams, in a
-hint of some sixty bytes. The same hint goes to all twice a second, as the heartbeat.
+An announcement carries the whole state of an entry. It is sent when that state changes, and
+periodically. Loads change far more often: each change is sent to the entries that use the same
+upstreams, in a load hint of about sixty bytes. A load hint also goes to all entries twice a second,
+as the heartbeat.
 """
 
 from __future__ import annotations
@@ -29,33 +30,33 @@
 from carobspool_node.direct._peer_table import PeerTable, Targets
 from carobspool_node.direct._telemetry import Telemetry
 
-TICK: Millis = 50.0
-"""Time between two looks at the silence of peers, and at what has to be announced at once."""
+CHECK_INTERVAL: Millis = 50.0
+"""Time between two checks for silent peers and for state that has to be announced at once."""
 HEARTBEAT_INTERVAL: Millis = 500.0
-"""Time between two heartbeats."""
 ANNOUNCEMENT_INTERVAL: Millis = 2_000.0
 """Time between two announcements while nothing changes."""
-REPEATED_FOR: Millis = 1_100.0
-"""How long heartbeats are announcements after a change: a lost datagram is made up for by the next
-two."""
-ENDS_TOLD_FOR: Millis = 5_000.0
-"""How long announcements name a job that this entry has ended in the store, twice a second: ten of
-them, and longer than a takeover that was under way takes (three calls of at most 1.5 s)."""
+REPEAT_ANNOUNCEMENT_FOR: Millis = 1_100.0
+"""Time after a change in which each heartbeat is an announcement, so that two more follow a lost
+datagram."""
+ANNOUNCE_ENDED_FOR: Millis = 5_000.0
+"""Time for which announcements name a job that this entry has ended in the store. At two a second
+these are ten announcements, and the time exceeds that of a takeover in progress (three calls of at
+most 1.5 s)."""
 
 
 class OwnState(Struct, frozen=True, kw_only=True):
-    """What this entry tells of itself.
+    """Functions that return the state of this entry which hints carry.
 
     Attributes:
-        loads: Returns what is in flight here, by the upstream's identity.
-        backlog: Returns the batch items that wait here.
-        urgent: Returns what is announced as soon as it changes.
-        describe: Returns all that an announcement holds.
-        shares_upstreams: Returns the peers that use the same upstreams, ``None`` for all.
+        loads: Returns the requests in flight, by the upstream's identity.
+        backlog: Returns the batch items that wait at this entry.
+        urgent: Returns the state whose changes are announced at once.
+        describe: Returns the content of an announcement.
+        shares_upstreams: Returns the peers that use the same upstreams, ``None`` for all peers.
         identities_by_key: Returns the upstreams that load hints may name.
-        has_untold_counts: Whether requests were admitted that the others have not been told.
-        counts_to_tell: Returns the counts of requests for a hint to all, which tells them; takes
-            whether it is a heartbeat.
+        has_untold_counts: Returns whether a hint has to report request counts now.
+        counts_to_tell: Returns the request counts for the next hint to all peers and marks them as
+            reported; takes whether the hint is a heartbeat.
     """
 
     loads: Callable[[], Mapping[str, Load]]
@@ -69,15 +70,15 @@
 
 
 class Peers:
-    """The other entries of the deployment.
+    """Sends and receives hints and keeps track of the other entries of the deployment.
 
     Args:
-        clock: A clock that goes on while the machine is suspended.
-        telemetry: Counts hints that are none.
+        clock: A clock that keeps running while the host is suspended.
+        telemetry: Counts invalid hints.
         name: Name of this entry.
-        incarnation: Of this process.
-        address: Where this entry takes hints.
-        own: What this entry tells.
+        incarnation: Incarnation of this process.
+        address: Address at which this entry receives hints.
+        own: State of this entry to send.
     """
 
     def __init__(
@@ -96,9 +97,9 @@
         self._table = PeerTable(clock, name)
         self._events = PeerEvents()
         self._lock = threading.Lock()
-        self._announced: Millis = 0.0
-        self._repeat_until: Millis = clock.now() + REPEATED_FOR
-        self._ended: dict[str, Millis] = {}
+        self._announced_at: Millis = 0.0
+        self._repeat_until: Millis = clock.now() + REPEAT_ANNOUNCEMENT_FOR
+        self._ended_at: dict[str, Millis] = {}
         self._loads_changed = threading.Event()
         self._stopped = threading.Event()
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -114,81 +115,83 @@
 
     @property
     def doubt_until(self) -> Millis:
-        """Until when others may have acted on jobs of this entry without its knowledge."""
+        """Time until which peers may have acted on this entry's jobs without its knowledge."""
         return self._table.doubt_until
 
     def start(self, events: PeerEvents) -> None:
-        """Start to send and to receive."""
+        """Start to send and receive hints."""
         self._events = events
         self._receiver.start(events)
         threading.Thread(target=self._send_loop, name="hints-out", daemon=True).start()
 
     def stop(self) -> None:
-        """Announce once more and stop."""
+        """Send a last announcement and stop."""
         self.announce()
         self._stopped.set()
         self._receiver.stop()
 
     def set_address(self, name: str, address: tuple[str, int] | None) -> None:
-        """Take or drop a peer's address from the list of entries."""
+        """Set a peer's address as the store lists it, or remove it with ``None``."""
         self._table.set_address(name, address)
 
-    def digest_of_names(self) -> int:
-        """Return a number that differs when the entries known, living or not, differ."""
-        return self._table.digest_of_names()
+    def names_digest(self) -> int:
+        """Return a digest of the names of all known entries, live or not."""
+        return self._table.names_digest()
 
     def live(self) -> list[Peer]:
-        """Return the peers that were heard of late."""
+        """Return the peers whose hints have arrived recently."""
         return self._table.live()
 
     def by_name(self, name: str) -> Peer | None:
-        """Return a live peer by name."""
+        """Return the live peer of a name, ``None`` if there is none."""
         for peer in self.live():
             if peer.name == name:
                 return peer
         return None
 
     def by_identity(self, identity: str) -> Peer | None:
-        """Return a live peer by name and incarnation."""
+        """Return the live peer of a name and incarnation, ``None`` if there is none."""
         for peer in self.live():
             if peer.identity == identity:
                 return peer
         return None
 
     def holder_of(self, job_id: str) -> Peer | None:
-        """Return the live peer that answers for a job."""
+        """Return the live peer that runs a job or holds its results, ``None`` if there is none."""
         for peer in self.live():
             if peer.answers_for(job_id):
                 return peer
         return None
 
     def loads_changed(self) -> None:
-        """Tell the others soon what is in flight here."""
+        """Wake the sender, which then sends the loads of this entry if they have changed."""
         self._loads_changed.set()
 
     def announce_ended(self, job_id: str) -> None:
-        """Tell all peers, now and for some seconds, that a job has been ended in the store."""
+        """Announce, now and for `ANNOUNCE_ENDED_FOR`, that a job has been ended in the store."""
         now = self._clock.now()
         with self._lock:
-            self._ended = {key: at for key, at in self._ended.items() if now - at < ENDS_TOLD_FOR}
-            self._ended[job_id] = now
+            self._ended_at = {
+                key: at for key, at in self._ended_at.items() if now - at < ANNOUNCE_ENDED_FOR
+            }
+            self._ended_at[job_id] = now
         self.announce()
 
     def announce(self) -> None:
-        """Tell all peers everything, at once."""
+        """Send an announcement to all peers at once."""
         now = self._clock.now()
         with self._lock:
-            self._announced = now
-            self._repeat_until = now + REPEATED_FOR
+            self._announced_at = now
+            self._repeat_until = now + REPEAT_ANNOUNCEMENT_FOR
         targets = self._table.targets()
         self._announce_to(list(targets.current.values()), targets.others)
 
     def members(self) -> frozenset[str]:
-        """Return the peers that were heard within the time of a restart and more."""
+        """Return the names of the peers heard within `FORGET_AFTER`, which covers a restart."""
         return self._table.members()
 
     def neighbours(self) -> list[Neighbour]:
-        """Return all other entries with when they were heard, those only listed included."""
+        """Return all other entries and when they were last heard, including those only listed."""
         return self._table.neighbours()
 
     def _announce_to(
@@ -199,77 +202,77 @@
             current=current,
             others=others,
             silent=self._table.silent(),
-            ended=self._ends_to_tell(),
+            ended=self._ended_jobs_to_announce(),
         )
 
-    def _ends_to_tell(self) -> list[str]:
+    def _ended_jobs_to_announce(self) -> list[str]:
         now = self._clock.now()
         with self._lock:
-            return [key for key, at in self._ended.items() if now - at < ENDS_TOLD_FOR]
+            return [key for key, at in self._ended_at.items() if now - at < ANNOUNCE_ENDED_FOR]
 
     def _send_loop(self) -> None:
-        announced: Hashable = None
-        told: Mapping[str, Load] = {}
+        announced_state: Hashable = None
+        sent_loads: Mapping[str, Load] = {}
         pace = LoadPace()
         heartbeat_at: Millis = 0.0
-        tick_at: Millis = 0.0
+        check_at: Millis = 0.0
         while not self._stopped.is_set():
-            pause = TICK
+            pause = CHECK_INTERVAL
             try:
                 now = self._clock.now()
-                if now >= tick_at:
-                    tick_at = now + TICK
-                    self._notice_silence()
+                if now >= check_at:
+                    check_at = now + CHECK_INTERVAL
+                    self._check_silence()
                     urgent = (self._own.urgent(), tuple(self._table.silent()))
-                    if urgent != announced:
-                        announced = urgent
+                    if urgent != announced_state:
+                        announced_state = urgent
                         heartbeat_at = now + HEARTBEAT_INTERVAL
                         self.announce()
                     elif now >= heartbeat_at:
                         heartbeat_at = now + HEARTBEAT_INTERVAL
-                        self._beat(now)
-                    self._greet_newcomers()
+                        self._send_heartbeat(now)
+                    self._announce_to_new_peers()
                 loads = self._own.loads()
-                if loads != told or self._own.has_untold_counts():
+                if loads != sent_loads or self._own.has_untold_counts():
                     targets = self._table.targets()
                     sharers = self._own.shares_upstreams()
-                    told_peers = len(targets.told_loads(sharers))
-                    pause = pace.wait(now, peers=told_peers)
+                    recipients = len(targets.load_recipients(sharers))
+                    pause = pace.wait(now, peers=recipients)
                     if pause <= 0.0:
-                        told = loads
-                        self._tell_loads(loads, targets, sharers, is_heartbeat=False)
-                        pace.sent(now, peers=told_peers)
-                        pause = TICK
-                pause = min(pause, max(0.0, tick_at - self._clock.now()))
+                        sent_loads = loads
+                        self._send_loads(loads, targets, sharers, is_heartbeat=False)
+                        pace.sent(now, peers=recipients)
+                        pause = CHECK_INTERVAL
+                pause = min(pause, max(0.0, check_at - self._clock.now()))
             except Exception:  # noqa: BLE001
                 logging.exception("event=hint_failed")
             self._wait_for_change(pause)
 
-    def _beat(self, now: Millis) -> None:
-        """Tell all peers that this entry lives, by a load hint if there is nothing else to tell."""
+    def _send_heartbeat(self, now: Millis) -> None:
+        """Send a heartbeat to all peers: an announcement if one is due, or else a load hint."""
         targets = self._table.targets()
-        if now < self._repeat_until or now - self._announced >= ANNOUNCEMENT_INTERVAL:
-            self._announced = now
+        if now < self._repeat_until or now - self._announced_at >= ANNOUNCEMENT_INTERVAL:
+            self._announced_at = now
             self._announce_to(list(targets.current.values()), targets.others)
             return
-        if self._ends_to_tell() or self._table.silent():
+        if self._ended_jobs_to_announce() or self._table.silent():
             self._announce_to(list(targets.current.values()), targets.others)
             return
-        self._tell_loads(self._own.loads(), targets, None, is_heartbeat=True)
+        self._send_loads(self._own.loads(), targets, None, is_heartbeat=True)
         self._announce_to((), targets.others)
 
-    def _greet_newcomers(self) -> None:
-        """Tell who has just started everything; it understands no load hint before."""
-        newcomers = self._table.take_newcomers()
-        if newcomers:
+    def _announce_to_new_peers(self) -> None:
+        """Announce to peers that have just started; they ignore load hints until then."""
+        names = self._table.pop_new_peers()
+        if names:
             current = self._table.targets().current
-            self._announce_to([current[name] for name in newcomers if name in current], ())
+            self._announce_to([current[name] for name in names if name in current], ())
 
     def _wait_for_change(self, pause: Millis) -> None:
         self._loads_changed.wait(pause / 1000.0)
         self._loads_changed.clear()
 
-    def _tell_loads(
+    def _send_loads(
         self,
         loads: Mapping[str, Load],
         targets: Targets,
@@ -285,9 +288,9 @@
             sharers=sharers,
         )
 
-    def _notice_silence(self) -> None:
-        losses = self._table.notice_silence()
-        for peer in losses.lost:
+    def _check_silence(self) -> None:
+        silent = self._table.check_silence()
+        for peer in silent.lost:
             self._events.lost(peer)
-        for peer in losses.gone:
+        for peer in silent.gone:
             self._events.gone(peer)
--- a/packages/node/tests/test_direct_peers.py
+++ b/packages/node/tests/test_direct_peers.py
@@ -1,4 +1,4 @@
-"""When an entry has to doubt that its jobs are still its own, by the hints that it hears."""
+"""Hints between entries, and when they make an entry doubt that it still owns its jobs."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from carobspool_core import Millis
 from carobspool_core.direct import DOUBT_TIME, Load, WaitingGroup, key_of
-from carobspool_node.direct._announcement import Sender, encode_for_version_before
+from carobspool_node.direct._announcement import Sender, encode_announcement_for_previous_version
 from carobspool_node.direct._hint_receiver import PeerEvents
 from carobspool_node.direct._load_hint import encode_load_hint, pack_loads
 from carobspool_node.direct._peer import OwnHint
@@ -32,7 +32,7 @@
 
 
 class _Entry:
-    """An entry whose time and hints are given by the test."""
+    """An entry whose clock and received hints the test controls."""
 
     def __init__(self) -> None:
         self.clock = _Clock()
@@ -53,23 +53,23 @@
                 identities_by_key=lambda: {key_of(ENGINE): ENGINE},
             ),
         )
-        events = PeerEvents(ended=self.ended.extend, loads=self._take_loads)
+        events = PeerEvents(ended=self.ended.extend, loads=self._record_loads)
         self.peers._events = self.peers._receiver._events = events
         self.hear()
         self.wait(DOUBT_TIME + TICK, hearing=True)
 
     @property
     def doubts(self) -> bool:
-        """Whether a proof from before this moment would not be good."""
+        """Whether a check of ownership made before now is invalid."""
         return self.peers.doubt_until >= self.clock.time
 
     def hear(self, **changes: Any) -> None:
-        """Receive a full hint of another entry."""
+        """Receive an announcement of a peer, in the format of the previous version by default."""
         message = {"n": "e2", "i": "1", "a": ["127.0.0.1", 1], "l": {}, "e": {}, "v": {}}
         message |= {"x": False, "s": True, "j": [], "f": [], "w": {}, "q": []}
         self.peers._receiver.receive(message | changes)
 
-    def _take_loads(
+    def _record_loads(
         self,
         peer: str,
         loads: Mapping[str, Load],
@@ -79,13 +79,13 @@
         self.loads = dict(loads)
 
     def wait(self, duration: Millis, *, hearing: bool) -> None:
-        """Let time pass."""
+        """Advance the clock, with an announcement of the peer at each tick if ``hearing``."""
         until = self.clock.time + duration
         while self.clock.time < until:
             self.clock.time += TICK
             if hearing:
                 self.hear()
-            self.peers._notice_silence()
+            self.peers._check_silence()
 
 
 def _own_hint() -> OwnHint:
@@ -105,34 +105,34 @@
 
 @pytest.fixture
 def entry() -> Iterator[_Entry]:
-    """An entry that has heard a peer for a while and doubts nothing."""
+    """An entry that has heard a peer for a while and has no doubt."""
     found = _Entry()
     assert not found.doubts
     yield found
 
 
 def test_a_separation_is_a_doubt_for_as_long_as_it_lasts(entry: _Entry) -> None:
-    """The peer may end or take over a job at any time of it, through the store."""
+    """The peer may end or take over a job in the store at any time during the separation."""
     for _ in range(20):
         entry.wait(1_000.0, hearing=False)
         assert entry.doubts
 
 
 def test_the_end_of_a_separation_is_a_doubt(entry: _Entry) -> None:
-    """What the peer did before may have been told while nothing was heard."""
+    """The peer may have announced its actions while its hints did not arrive."""
     entry.wait(40_000.0, hearing=False)
     entry.hear()
     assert entry.doubts
 
 
-def test_a_peer_that_starts_anew_is_a_doubt(entry: _Entry) -> None:
-    """Its earlier process may have ended a job and died before it told anybody."""
+def test_a_restarted_peer_is_a_doubt(entry: _Entry) -> None:
+    """Its earlier process may have ended a job and died before announcing that."""
     entry.hear(i="2")
     assert entry.doubts
 
 
 def test_a_peer_that_left_for_good_is_a_doubt_once(entry: _Entry) -> None:
-    """It may have ended a job in its last moments, and its last hints may be lost."""
+    """It may have ended a job just before it left, and its last hints may be lost."""
     entry.hear(x=True)
     entry.wait(800.0, hearing=False)
     assert not entry.doubts
@@ -142,7 +142,7 @@
     assert not entry.doubts
 
 
-def test_hints_name_ended_jobs_and_those_of_the_version_before_do_not(entry: _Entry) -> None:
+def test_announcements_name_ended_jobs_except_in_the_previous_version(entry: _Entry) -> None:
     entry.hear()
     assert entry.ended == []
     entry.hear(d=["j"])
@@ -161,8 +161,8 @@
     )
 
 
-def test_a_load_hint_tells_what_its_sender_has_in_flight(entry: _Entry) -> None:
-    """Upstreams that the reader does not know are left out."""
+def test_a_load_hint_reports_the_requests_in_flight_at_its_sender(entry: _Entry) -> None:
+    """Loads of upstreams that the reader does not know are skipped."""
     entry.hear(c=1)
     entry.peers._receiver.receive(
         _load_hint(sequence=2, loads={ENGINE: Load(3, 1), "other": Load(9, 9)})
@@ -170,8 +170,8 @@
     assert entry.loads == {ENGINE: Load(3, 1)}
 
 
-def test_a_hint_that_comes_late_does_not_undo_a_newer_one(entry: _Entry) -> None:
-    """Datagrams overtake each other; loads of an earlier moment would stand until the next one."""
+def test_a_late_hint_does_not_replace_a_newer_one(entry: _Entry) -> None:
+    """Datagrams can arrive out of order; an older hint would leave outdated loads in place."""
     entry.hear(c=1)
     entry.peers._receiver.receive(_load_hint(sequence=4, loads={ENGINE: Load(4, 0)}))
     entry.peers._receiver.receive(_load_hint(sequence=3, loads={ENGINE: Load(3, 0)}))
@@ -181,8 +181,8 @@
     assert entry.loads == {ENGINE: Load(5, 0)}
 
 
-def test_a_load_hint_of_a_process_that_is_gone_counts_for_nothing(entry: _Entry) -> None:
-    """It may arrive after the first announcement of the next process, and numbers start anew."""
+def test_a_load_hint_of_an_earlier_process_is_ignored(entry: _Entry) -> None:
+    """It may arrive after the next process's first announcement, and sequence numbers restart."""
     entry.hear(i="2", c=1)
     entry.peers._receiver.receive(_load_hint(sequence=90, loads={ENGINE: Load(9, 0)}))
     assert entry.loads == {}
@@ -193,18 +193,18 @@
 
 
 def test_load_hints_keep_a_peer_alive(entry: _Entry) -> None:
-    """Announcements may all be lost for a while; whoever is heard at all is not separated."""
+    """Announcements may be lost for a while; a peer whose load hints arrive is not separated."""
     entry.hear(c=1)
     for number in range(2, 40):
         entry.clock.time += TICK
         entry.peers._receiver.receive(_load_hint(sequence=number, loads={}))
-        entry.peers._notice_silence()
+        entry.peers._check_silence()
         assert not entry.doubts
 
 
-def test_announcements_without_jobs_leave_those_known(entry: _Entry) -> None:
-    """Jobs are named when they change and now and then; a reader that forgot them in between would
-    ask the store for results, and take nothing over when their owner is lost."""
+def test_an_announcement_without_jobs_keeps_the_known_jobs(entry: _Entry) -> None:
+    """Not every announcement names the jobs. If the reader dropped them in between, it would read
+    results from the store and take no job over when the owner is lost."""
     entry.hear(c=1, j=["j"], f=["k"])
     entry.peers._receiver.receive(
         {
@@ -222,8 +222,8 @@
         assert entry.peers.holder_of(job_id) is not None
 
 
-def test_both_versions_are_told_what_they_understand(entry: _Entry) -> None:
-    """An entry of the version before reads neither load hints nor packed loads."""
+def test_each_version_is_sent_hints_that_it_can_read(entry: _Entry) -> None:
+    """An entry of the previous version reads neither load hints nor packed loads."""
     entry.hear()
     assert entry.peers._table.targets() == Targets(
         current={}, counting=frozenset(), others=[("127.0.0.1", 1)]
@@ -234,17 +234,19 @@
     )
     sender = Sender(name="e1", incarnation="1", address=("127.0.0.1", 7))
     hint = replace(_own_hint(), loads={ENGINE: Load(2, 1)}, open_jobs=frozenset({"j"}))
-    told = cbor2.loads(
-        encode_for_version_before(sender, hint, sequence=1, silent=["e3"], ended=["k"])
+    message = cbor2.loads(
+        encode_announcement_for_previous_version(
+            sender, hint, sequence=1, silent=["e3"], ended=["k"]
+        )
     )
-    assert told["l"] == {"engine": [2, 1]}
-    assert told["b"] == {"engine": 1764700000000}
-    assert (told["j"], told["q"], told["d"]) == (["j"], ["e3"], ["k"])
+    assert message["l"] == {"engine": [2, 1]}
+    assert message["b"] == {"engine": 1764700000000}
+    assert (message["j"], message["q"], message["d"]) == (["j"], ["e3"], ["k"])
 
 
 @pytest.fixture
 def sent(entry: _Entry, monkeypatch: pytest.MonkeyPatch) -> list[Any]:
-    """Return what the entry sends, decoded, as it grows."""
+    """A list to which the entry's sent messages are added, decoded."""
     found: list[Any] = []
 
     def send(data: bytes, addresses: Any) -> None:
@@ -254,20 +256,18 @@
     return found
 
 
-def test_a_process_that_has_just_started_is_told_everything_once(
-    entry: _Entry, sent: list[Any]
-) -> None:
-    """It understands no load hint of a peer whose announcement it has not heard."""
+def test_a_new_process_is_sent_one_announcement(entry: _Entry, sent: list[Any]) -> None:
+    """A process ignores load hints of a peer whose announcement it has not received."""
     entry.hear(n="e3", i="7", c=1)
-    entry.peers._greet_newcomers()
-    entry.peers._greet_newcomers()
+    entry.peers._announce_to_new_peers()
+    entry.peers._announce_to_new_peers()
     assert [each["n"] for each in sent] == ["e1"]
 
 
-def test_a_heartbeat_announces_after_a_change_and_now_and_then(
+def test_heartbeats_are_announcements_after_a_change_and_periodically(
     entry: _Entry, sent: list[Any]
 ) -> None:
-    """A lost announcement is made up for by the next heartbeats; after that they cost little."""
+    """The next heartbeats make up for a lost announcement; after that most are load hints."""
     entry.hear(c=1)
     entry.peers.announce()
     kinds = []
@@ -275,23 +275,23 @@
         entry.clock.time += 500.0
         entry.hear(c=1)
         sent.clear()
-        entry.peers._beat(entry.clock.time)
+        entry.peers._send_heartbeat(entry.clock.time)
         kinds.append("loads" if isinstance(sent[-1], list) else "all")
     assert kinds[:2] == ["all", "all"]
     assert "loads" in kinds[2:]
     assert "all" in kinds[3:]
 
 
-def test_silence_and_ends_are_announced_with_each_heartbeat(entry: _Entry, sent: list[Any]) -> None:
-    """The one that is not heard learns by it that it has to doubt its jobs, within a second."""
+def test_each_heartbeat_announces_silent_peers(entry: _Entry, sent: list[Any]) -> None:
+    """So a peer that is not heard learns within a second that it has to doubt its jobs."""
     entry.hear(c=1)
     entry.hear(n="e3", i="7", c=1)
     entry.clock.time += 5_000.0
     entry.hear(c=2)
-    entry.peers._beat(entry.clock.time)
+    entry.peers._send_heartbeat(entry.clock.time)
     entry.clock.time += 500.0
     entry.hear(c=3)
     sent.clear()
-    entry.peers._beat(entry.clock.time)
+    entry.peers._send_heartbeat(entry.clock.time)
     assert all(each["q"] == ["e3"] for each in sent if isinstance(each, dict))
     assert any(isinstance(each, dict) for each in sent)
