--- a/packages/node/src/carobspool_node/direct/_follow.py
+++ b/packages/node/src/carobspool_node/direct/_follow.py
@@ -1,4 +1,4 @@
-"""Following one kind of objects in the store: a listing, then watches from its revision."""
+"""Follow the objects under a prefix of the store: a listing, then watches from its revision."""
 
 from __future__ import annotations
 
@@ -20,45 +20,45 @@
 )
 
 WATCH_TIMEOUT: Millis = 30_000.0
-"""The longest that the store allows: each watch is a priced call. A connection that falls silent
-is found by keep-alive probes, not by this."""
+"""The longest timeout that the store allows, since each watch is a priced call. Keep-alive probes
+detect a dead connection, not this timeout."""
 RETRY_PAUSE: Millis = 200.0
 RETRY_JITTER: Millis = 250.0
-"""Pause between tries while the store cannot be read, drawn anew each time, so that the processes
-do not all return in the same moment. A configuration has two seconds to come into force."""
+"""Upper bound of the random time added to each pause between attempts to read the store, so that
+processes do not retry at the same moment. A configuration must take effect within two seconds."""
 
 WATCH_RETRY_PAUSE: Millis = 800.0
-"""Pause after a watch that failed although its listing succeeded: while the store turns this host
-away, listings come through another entry, and each costs a call."""
+"""Pause after a watch that failed although its listing succeeded. While the store refuses this
+host, listings are relayed by another entry, and each is a priced call."""
 
 OFF_DUTY_PAUSE: Millis = 200.0
-"""Time between two looks at whether this process has to follow the store itself again."""
+"""Time between two checks whether this process has to follow the store itself."""
 OFF_DUTY_RETRY_PAUSE: Millis = 2_000.0
-"""Pause between tries of a process that need not follow the store and was turned away by it: it
-only finds out when its writes are taken again."""
+"""Pause between attempts of a process that need not follow the store and was refused by it. Such a
+process reads only to find out when the store accepts its writes again."""
 
 
 class Follower:
     """Keeps a process up to date with the objects under a prefix.
 
-    A watch ends with the first change, and the next one is a priced call again. While many objects
-    change one after the other, as when all hosts start, each process would make a call for each of
-    them; a pause before the next watch gathers what comes meanwhile.
+    A watch ends with the first change, and the next watch is another priced call. While many
+    objects change in a row, as when all hosts start, each process would make a call for each
+    change. A pause before the next watch lets it return several changes at once.
 
     Args:
         store: The object store.
-        prefix: Which objects.
+        prefix: Prefix of the objects' keys.
         on_listing: Called with all objects after a listing.
-        on_change: Called with each change after that.
-        on_regained: Called when the store answers again after it could not be read.
-        reduce: Returns what is kept of an object for ``on_listing``; called as its page arrives,
-            so that the values of a long listing are never in memory together.
-        gather: Pause after a change before the next watch, in milliseconds. It adds to the time in
-            which a change is known here.
-        on_duty: Returns whether this process follows the store itself. While it does not, others
-            tell it what has changed, see `adopt`.
-        settle: Pause between the first listing and the first watch, in milliseconds, in which a
-            process that has just started hears of the others and of their duties.
+        on_change: Called with each later change.
+        on_regained: Called when the store can be read again after a failure.
+        reduce: Returns the part of an object to keep for ``on_listing``. It is called as each page
+            arrives, so that the values of a long listing are never all in memory.
+        gather: Pause between a change and the next watch, in milliseconds. The pause delays changes
+            by as much.
+        on_duty: Returns whether this process has to follow the store itself. While it does not, it
+            gets changes from other processes, see `adopt`.
+        settle_time: Pause between the first listing and the first watch, in milliseconds, in which
+            a new process hears of the other processes and of their duties.
     """
 
     def __init__(
@@ -72,7 +72,7 @@
         reduce: Callable[[StoredObject], StoredObject] = lambda stored: stored,
         gather: Millis = 0.0,
         on_duty: Callable[[], bool] = lambda: True,
-        settle: Millis = 0.0,
+        settle_time: Millis = 0.0,
     ) -> None:
         self._store = store
         self._prefix = prefix
@@ -82,38 +82,43 @@
         self._reduce = reduce
         self._gather = gather
         self._on_duty = on_duty
-        self._settle = settle
+        self._settle_time = settle_time
         self._lock = threading.Lock()
         self._failing = False
         self._refreshing = threading.Lock()
-        self._applied = 0
+        self._applied_revision = 0
 
     @property
     def revision(self) -> int:
-        """Revision of the store that is known here, 0 when none is."""
-        return self._applied
+        """Store revision up to which changes have been applied, 0 before the first listing."""
+        return self._applied_revision
 
     def start(self) -> None:
-        """Start to follow."""
-        threading.Thread(target=self._loop, name=f"follow-{self._prefix}", daemon=True).start()
+        """Start the thread that follows the objects."""
+        threading.Thread(
+            target=self._follow_loop, name=f"follow-{self._prefix}", daemon=True
+        ).start()
 
     def refresh(self) -> None:
-        """List again beside the watch, which may have missed something; one at a time."""
+        """Start another listing, unless one is running, in case the watch has missed a change."""
         if not self._refreshing.acquire(blocking=False):
             return
         threading.Thread(target=self._refresh, name="refresh", daemon=True).start()
 
     def adopt(self, revision: int, apply: Callable[[], None]) -> bool:
-        """Take what another process has read, unless something newer is known here.
+        """Apply what another process has read, unless this process has an equal or newer revision.
 
         Args:
-            revision: Of the store, as that process knows it.
-            apply: Takes what it has read.
+            revision: Store revision that the other process has read.
+            apply: Applies what it has read.
+
+        Returns:
+            Whether ``apply`` was called.
         """
         with self._lock:
-            if revision <= self._applied:
+            if revision <= self._applied_revision:
                 return False
-            self._applied = revision
+            self._applied_revision = revision
             apply()
             return True
 
@@ -123,15 +128,15 @@
         finally:
             self._refreshing.release()
 
-    def _loop(self) -> None:
+    def _follow_loop(self) -> None:
         revision: int | None = None
-        settle = self._settle
+        settle_time = self._settle_time
         while True:
-            if self._applied and settle:
-                time.sleep(settle / 1000.0)
-                settle = 0.0
-            if self._applied and not self._failing and not self._on_duty():
-                revision = self._applied
+            if self._applied_revision and settle_time:
+                time.sleep(settle_time / 1000.0)
+                settle_time = 0.0
+            if self._applied_revision and not self._failing and not self._on_duty():
+                revision = self._applied_revision
                 time.sleep(OFF_DUTY_PAUSE / 1000.0)
                 continue
             pause = RETRY_PAUSE if self._on_duty() else OFF_DUTY_RETRY_PAUSE
@@ -157,7 +162,7 @@
         while True:
             page = self._store.list(self._prefix, after=after)
             if not is_successful(page):
-                self._failed(page.failure())
+                self._handle_failure(page.failure())
                 return None
             objects.extend(self._reduce(each) for each in page.unwrap().objects)
             if not page.unwrap().more:
@@ -169,29 +174,29 @@
             self._on_regained()
         revision = page.unwrap().revision
         with self._lock:
-            # A listing and a watch answer can cross; the older one must not undo the newer.
-            if revision >= self._applied:
-                self._applied = revision
+            # A listing and a watch can return out of order; the older one must not be applied last.
+            if revision >= self._applied_revision:
+                self._applied_revision = revision
                 self._on_listing(objects)
         return revision
 
     def _watch(self, revision: int) -> int | None:
         batch = self._store.watch(self._prefix, revision=revision, timeout=WATCH_TIMEOUT)
         if not is_successful(batch):
-            self._failed(batch.failure())
+            self._handle_failure(batch.failure())
             return None
         with self._lock:
-            if batch.unwrap().revision < self._applied:
+            if batch.unwrap().revision < self._applied_revision:
                 return batch.unwrap().revision
-            self._applied = batch.unwrap().revision
+            self._applied_revision = batch.unwrap().revision
             for change in batch.unwrap().changes:
                 self._on_change(change)
         if batch.unwrap().unreadable:
-            # One of the objects known here may have turned unreadable; a listing shows which.
+            # A known object may have become unreadable; a listing shows which one.
             return None
         return batch.unwrap().revision
 
-    def _failed(self, failure: StoreFailure) -> None:
+    def _handle_failure(self, failure: StoreFailure) -> None:
         if failure.fault is StoreFault.COMPACTED:
             logging.info("event=watch_compacted prefix=%s", self._prefix)
             return
--- a/packages/node/src/carobspool_node/direct/_membership.py
+++ b/packages/node/src/carobspool_node/direct/_membership.py
@@ -1,4 +1,4 @@
-"""Which entries there are, as the store lists them, and which of them does what for all."""
+"""Register this entry, follow the store's list of entries, and assign duties among them."""
 
 from __future__ import annotations
 
@@ -19,33 +19,34 @@
 from carobspool_node.direct._peers import Peers
 from carobspool_node.direct._telemetry import Telemetry
 
-GATHER: Millis = 1_500.0
-"""Pause between two watches of the entries. Who starts is known by its hints much sooner."""
-APART: Millis = 4_000.0
-"""How long entries may know different ones before the list is read again. Whoever starts tells all
-that it finds in the list, and takes some two seconds until it is heard by all."""
+WATCH_PAUSE: Millis = 1_500.0
+"""Pause between two watches of the entries. Hints report a new entry much sooner."""
+MAX_DISAGREEMENT: Millis = 4_000.0
+"""Time for which entries may know different sets of entries before the list is read again. A new
+entry announces itself to all entries in the list, and all hear it within about two seconds."""
 SETTLE_TIME: Millis = 800.0
-"""How long a process that has just started takes to hear of the others: it tells all that it finds
-in the list, and their next announcements come within 500 ms."""
-READ_AGAIN: Millis = 10_000.0
+"""Time for a new process to hear of the other entries: it announces itself to all entries in the
+list, and their next announcements arrive within 500 ms."""
+REREAD_INTERVAL: Millis = 10_000.0
+"""Least time between two readings of the list while entries disagree."""
 RETRY_PAUSE_S, RETRY_JITTER_S = 0.3, 0.3
-"""Pause between two tries to register; drawn, since all entries try after an outage."""
-NAMES = "entries"
-"""Which entries a process knows, among the numbers that processes compare."""
+"""Pause between two attempts to register, with jitter, since all entries retry after an outage."""
+NAMES_VERSION = "entries"
+"""Key of the digest of known entries among the versions that processes compare."""
 
 
 class Membership:
-    """Registers this entry, follows the list of all, and tells whose turn a duty is.
+    """Registers this entry, follows the list of entries, and decides who performs a duty.
 
     Args:
         clock: The process's clock.
         store: The object store.
         peers: The other entries.
-        telemetry: Counts records that are none.
+        telemetry: Counts invalid records.
         node: Name of this entry.
-        address: Where it takes hints and calls.
+        address: Address at which this entry receives hints and calls.
         leaving: Set when this process is to stop.
-        store_ok: Returns whether the store answered this process when it last asked.
+        store_ok: Returns whether the store answered the last call of this process.
     """
 
     def __init__(
@@ -67,35 +68,35 @@
         self._address = address
         self._leaving = leaving
         self._store_ok = store_ok
-        self._names = SharedView(change_time=APART, read_again=READ_AGAIN)
+        self._names_view = SharedView(change_time=MAX_DISAGREEMENT, read_again=REREAD_INTERVAL)
         self._bad_entries = BadRecords(clock, telemetry, "entry", "entry")
         self._entries = Follower(
             store,
             "entries/",
-            on_listing=self._listed,
-            on_change=self._changed,
-            gather=GATHER,
+            on_listing=self._apply_listing,
+            on_change=self._apply_change,
+            gather=WATCH_PAUSE,
             on_duty=self.follows_store,
-            settle=SETTLE_TIME,
+            settle_time=SETTLE_TIME,
         )
 
     def start(self) -> None:
-        """Start to register and to follow the list."""
+        """Start the thread that registers this entry and follows the list."""
         threading.Thread(target=self._register, name="register", daemon=True).start()
 
     def versions(self) -> Mapping[str, int]:
-        """Return what is known of the entries, as a number for the others."""
-        return {NAMES: self._peers.names_digest()}
+        """Return the digest of the known entries, for comparison by other processes."""
+        return {NAMES_VERSION: self._peers.names_digest()}
 
     def compare(self, versions: Mapping[str, int]) -> None:
-        """Read the list again when another process knows other entries for long."""
-        self._names.version = self._peers.names_digest()
-        digest = versions.get(NAMES, 0)
-        if digest and self._names.differs(digest, self._clock.now()):
+        """Read the list again if other processes have known other entries for too long."""
+        self._names_view.version = self._peers.names_digest()
+        digest = versions.get(NAMES_VERSION, 0)
+        if digest and self._names_view.differs(digest, self._clock.now()):
             self._entries.refresh()
 
     def follows_store(self) -> bool:
-        """Whether this entry, of all that live, follows the store for the others."""
+        """Whether this entry is one of those that follow the store on behalf of all entries."""
         own = DutyCandidate(name=self._node, store_ok=self._store_ok())
         others = [
             DutyCandidate(name=each.name, store_ok=each.store_ok)
@@ -105,16 +106,16 @@
         return has_watch_duty(own, others)
 
     def has_duty(self, duty: str) -> bool:
-        """Whether this entry, of all that reach the store, does a duty for all of them."""
+        """Whether this entry, among those that reach the store, performs a duty for all."""
         nodes = [each.name for each in self._peers.live() if each.store_ok and not each.leaving]
         nodes.append(self._node)
         return rendezvous_owner(duty, nodes) == self._node
 
     def _register(self) -> None:
-        """Write this entry's address, then learn those of the others.
+        """Write this entry's address, then read those of the other entries.
 
-        In this order: of two entries that start together, the one that writes last finds the
-        other, and tells it of itself.
+        The order matters: of two entries that start together, the one that writes last finds the
+        other in the list and announces itself to it.
         """
         is_registered = self._write_address()
         self._entries.start()
@@ -139,15 +140,15 @@
             return True
         return is_successful(self._store.update(key, value, version=current.version))
 
-    def _listed(self, objects: Sequence[StoredObject]) -> None:
+    def _apply_listing(self, objects: Sequence[StoredObject]) -> None:
         for each in objects:
-            self._take(each, deleted=False)
+            self._apply_entry(each, deleted=False)
         self._peers.announce()
 
-    def _changed(self, change: ObjectChange) -> None:
-        self._take(change.object, deleted=change.deleted)
+    def _apply_change(self, change: ObjectChange) -> None:
+        self._apply_entry(change.object, deleted=change.deleted)
 
-    def _take(self, stored: StoredObject, *, deleted: bool) -> None:
+    def _apply_entry(self, stored: StoredObject, *, deleted: bool) -> None:
         name = stored.key.removeprefix("entries/")
         if deleted:
             self._bad_entries.mended(name)
--- a/packages/node/src/carobspool_node/direct/_neighbourhood.py
+++ b/packages/node/src/carobspool_node/direct/_neighbourhood.py
@@ -1,4 +1,4 @@
-"""The part of the upstreams that this entry uses, and the entries that use the same."""
+"""Choose the subset of upstreams that this entry uses, and find the entries that share it."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from carobspool_core import Clock, Millis
 from carobspool_core.direct import Upstream, group_count, members_of_group, part_of_group
 
-MEMBERS_KNOWN_FOR: Millis = 250.0
-"""How long the group stands before it is worked out again; each request asks for it."""
+GROUP_CACHE_TIME: Millis = 250.0
+"""Time for which the group is cached, since each request needs it."""
 
 
 class Reach(Struct, frozen=True, kw_only=True):
-    """The upstreams of one service, as one entry sees them.
+    """The upstreams of a service, split into those that this entry uses and the others.
 
     Attributes:
-        near: Those that it uses; their loads are told in its group.
-        far: All others, for what finds no place among the near ones.
+        near: Upstreams that this entry uses; the entries of its group report their loads.
+        far: All other upstreams, for requests that find no slot among the near ones.
     """
 
     near: Sequence[Upstream]
@@ -27,20 +27,22 @@
 
 
 class _Group(Struct, frozen=True, kw_only=True):
+    """The group of this entry: its number among ``groups`` groups, and the names of its members."""
+
     number: int
     groups: int
     members: frozenset[str]
 
 
 class Neighbourhood:
-    """Which group this entry belongs to; safe for threads.
+    """Assigns this entry to a group, and upstreams to that group; safe for threads.
 
     Args:
         clock: The process's clock.
         name: Name of this entry.
         members: Returns the names of the other entries.
-        usable: Returns the upstreams of a service, the same list until it changes.
-        largest_service: Returns how many upstreams the largest service has.
+        usable: Returns the usable upstreams of a service, as the same list until they change.
+        largest_service: Returns the number of upstreams of the largest service.
     """
 
     def __init__(
@@ -59,7 +61,7 @@
         self._largest_service = largest_service
         self._lock = threading.Lock()
         self._group = _Group(number=0, groups=1, members=frozenset({name}))
-        self._known_until: Millis = 0.0
+        self._group_valid_until: Millis = 0.0
         self._reaches: dict[str, tuple[Sequence[Upstream], _Group, Reach]] = {}
 
     def near(self, service: str) -> Sequence[Upstream]:
@@ -67,29 +69,29 @@
         return self.reach(service).near
 
     def reach(self, service: str) -> Reach:
-        """Return the upstreams of a service, those that this entry uses apart."""
+        """Return the upstreams of a service, split into near and far ones."""
         upstreams = self._usable(service)
-        group = self._current()
+        group = self._current_group()
         if group.groups == 1:
             return Reach(near=upstreams, far=())
         known = self._reaches.get(service)
         if known is not None and known[0] is upstreams and known[1] is group:
             return known[2]
-        reach = _reach_of(upstreams, group)
+        reach = _reach_of_group(upstreams, group)
         self._reaches[service] = (upstreams, group, reach)
         return reach
 
     def peers(self) -> frozenset[str] | None:
-        """Return the entries that use the same upstreams, ``None`` for all."""
-        group = self._current()
+        """Return the names of the entries that use the same upstreams, ``None`` for all entries."""
+        group = self._current_group()
         return None if group.groups == 1 else group.members
 
-    def _current(self) -> _Group:
+    def _current_group(self) -> _Group:
         now = self._clock.now()
         with self._lock:
-            if now < self._known_until:
+            if now < self._group_valid_until:
                 return self._group
-            self._known_until = now + MEMBERS_KNOWN_FOR
+            self._group_valid_until = now + GROUP_CACHE_TIME
             names = self._members() | {self._name}
             groups = group_count(entries=len(names), upstreams=self._largest_service())
             number, members = 0, names
@@ -101,7 +103,7 @@
             return self._group
 
 
-def _reach_of(upstreams: Sequence[Upstream], group: _Group) -> Reach:
+def _reach_of_group(upstreams: Sequence[Upstream], group: _Group) -> Reach:
     instances = [each.instance for each in upstreams]
     near = part_of_group(upstreams, instances, group.number, group.groups)
     if near is upstreams:
--- a/packages/node/tests/test_direct_follow.py
+++ b/packages/node/tests/test_direct_follow.py
@@ -1,4 +1,4 @@
-"""Following objects in the store: how many calls it takes, and how late a change is known."""
+"""Following objects in the store: the number of calls, and the delay of a change."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     delays: list[float] = []
     done = threading.Event()
 
-    def seen(key: str) -> None:
+    def record_delay(key: str) -> None:
         delays.append((time.monotonic() - written[key]) * 1_000.0)
         if len(delays) == changes:
             done.set()
@@ -42,7 +42,7 @@
         store,
         "hosts/",
         on_listing=lambda objects: None,
-        on_change=lambda change: seen(change.object.key),
+        on_change=lambda change: record_delay(change.object.key),
         gather=gather,
     )
     follower.start()
@@ -56,25 +56,27 @@
     return store.watches, max(delays)
 
 
-def test_changes_that_come_together_cost_few_calls() -> None:
-    """Twenty hosts start within a second. With a watch for each of them every process made twenty
-    calls; now it makes some five, and knows each host within the pause."""
-    at_once, _ = _follow(20, gather=0.0)
-    gathered, delay = _follow(20, gather=250.0)
-    assert at_once >= 15
-    assert gathered <= 7
+def test_changes_in_quick_succession_take_few_calls() -> None:
+    """Twenty hosts start within a second. Guards against one watch per change, with which every
+    process made twenty calls. With a pause between watches a process makes about five, and learns
+    of each host within the pause."""
+    watches_without_pause, _ = _follow(20, gather=0.0)
+    watches_with_pause, delay = _follow(20, gather=250.0)
+    assert watches_without_pause >= 15
+    assert watches_with_pause <= 7
     assert delay < 1_000.0
 
 
-def test_a_watch_with_an_event_that_cannot_be_read_is_followed_by_a_listing() -> None:
-    """An upstream's registration turns unreadable, its name included. The watch cannot tell which
-    one it was, and the old one would stay in use; the listing without it ends that."""
+def test_a_listing_follows_a_watch_with_an_unreadable_event() -> None:
+    """An upstream's registration becomes unreadable, its name included. The watch cannot show which
+    one it was, so the old registration would stay in use; the listing, which lacks it, removes it.
+    """
     objects = MemoryObjects()
     writer = MemoryStore(objects, "writer")
     writer.create("hosts/a", {"n": 0})
     listed: list[list[str]] = []
     follower = Follower(
-        _UnreadableOnce(objects),
+        _UnreadableOnceStore(objects),
         "hosts/",
         on_listing=lambda found: listed.append([each.key for each in found]),
         on_change=lambda change: None,
@@ -86,15 +88,15 @@
     assert listed == [["hosts/a"], ["hosts/a"]]
 
 
-class _UnreadableOnce(MemoryStore):
-    """Its first watch brings an event that cannot be read; the next ones wait."""
+class _UnreadableOnceStore(MemoryStore):
+    """Its first watch returns an unreadable event; later watches wait for changes."""
 
     def __init__(self, objects: MemoryObjects) -> None:
         super().__init__(objects, "follower")
-        self._told = False
+        self._returned_event = False
 
     def watch(self, prefix: str, *, revision: int, timeout: float):  # type: ignore[no-untyped-def]
-        if self._told:
+        if self._returned_event:
             return super().watch(prefix, revision=revision, timeout=timeout)
-        self._told = True
+        self._returned_event = True
         return Success(WatchBatch(revision=revision, changes=[], unreadable=1))
--- a/packages/node/tests/test_direct_neighbourhood.py
+++ b/packages/node/tests/test_direct_neighbourhood.py
@@ -1,11 +1,11 @@
-"""Which upstreams an entry uses, and with whom, as entries and upstreams come and go."""
+"""Subsets of upstreams and groups of entries, as entries and upstreams come and go."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 
 from carobspool_core.direct import Upstream
-from carobspool_node.direct._neighbourhood import MEMBERS_KNOWN_FOR, Neighbourhood
+from carobspool_node.direct._neighbourhood import GROUP_CACHE_TIME, Neighbourhood
 
 
 class _Clock:
@@ -31,7 +31,7 @@
 
 
 class _Fleet:
-    """Entries and upstreams as one entry sees them; its view is shared by all here."""
+    """Entries and upstreams that all entries of the test see alike."""
 
     def __init__(self, entries: int, engines: int, plain: int) -> None:
         self.clock = _Clock()
@@ -51,11 +51,11 @@
             largest_service=lambda: max(len(each) for each in self.upstreams.values()),
         )
 
-    def parts(self, service: str) -> list[Sequence[Upstream]]:
+    def subsets(self, service: str) -> list[Sequence[Upstream]]:
         return [view.near(service) for view in self.views.values()]
 
 
-def test_a_small_fleet_uses_everything_together() -> None:
+def test_all_entries_of_a_small_fleet_use_all_upstreams() -> None:
     fleet = _Fleet(entries=58, engines=30, plain=5)
     view = fleet.views["e0"]
     assert view.peers() is None
@@ -63,9 +63,9 @@
     assert view.reach("engine").far == ()
 
 
-def test_a_large_fleet_shares_out_what_is_large() -> None:
-    """Three hundred entries and as many engines a group as bursts need; five servers of a plain
-    service stay everybody's."""
+def test_a_large_fleet_splits_only_large_services() -> None:
+    """Of 600 engines each group of the 300 entries gets as many as its bursts need, while all
+    entries keep using the five servers of the plain service."""
     fleet = _Fleet(entries=300, engines=600, plain=5)
     for view in fleet.views.values():
         reach = view.reach("engine")
@@ -74,11 +74,11 @@
         assert len(view.near("plain")) == 5
         peers = view.peers()
         assert peers is not None and 16 <= len(peers) <= 17
-    users = [each.instance for part in fleet.parts("engine") for each in part]
-    assert set(users) == {each.instance for each in fleet.upstreams["engine"]}
+    used = [each.instance for subset in fleet.subsets("engine") for each in subset]
+    assert set(used) == {each.instance for each in fleet.upstreams["engine"]}
 
 
-def test_parts_follow_what_comes_and_goes() -> None:
+def test_subsets_follow_changes_of_upstreams_and_entries() -> None:
     fleet = _Fleet(entries=64, engines=128, plain=0)
     view = fleet.views["e0"]
     before = view.near("engine")
@@ -87,6 +87,6 @@
     fleet.upstreams["engine"] = [each for each in fleet.upstreams["engine"] if each is not gone]
     assert gone not in view.near("engine")
     fleet.names = frozenset({"e0", "e1"})
-    fleet.clock.time += MEMBERS_KNOWN_FOR
+    fleet.clock.time += GROUP_CACHE_TIME
     assert view.peers() is None
     assert len(view.near("engine")) == 127
