--- a/packages/node/src/carobspool_node/direct/_peer_api.py
+++ b/packages/node/src/carobspool_node/direct/_peer_api.py
@@ -1,4 +1,4 @@
-"""Calls of other entries, as this entry answers them."""
+"""Serve the calls of other entries."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class PeerApi:
-    """Serves calls of peers; one that is none is refused with 400 and does nothing."""
+    """Serves calls of peers; an invalid call gets status 400 and has no effect."""
 
     def __init__(
         self,
@@ -41,7 +41,7 @@
         self._bad_calls = BadRecords(clock, telemetry, "peer_call", "path")
 
     def handle(self, request: CallerRequest, caller: CallerConnection) -> None:
-        """Answer one call."""
+        """Answer one call of a peer."""
         try:
             status, answer = self._serve(request)
         except UnusableRecordError as error:
@@ -54,7 +54,8 @@
         try:
             data = cbor2.dumps(answer)
         except (ValueError, cbor2.CBOREncodeError) as error:
-            # A result may stand for bytes that are no UTF-8; the peer then reads it from the store.
+            # A result's text may stand for bytes that are not UTF-8, which CBOR cannot encode. The
+            # peer then reads the result from the store.
             logging.warning("event=peer_answer_failed path=%s reason=%r", request.path, error)
             status, data = 500, b""
         caller.answer(status, headers, data)
--- a/packages/node/src/carobspool_node/direct/_peer_calls.py
+++ b/packages/node/src/carobspool_node/direct/_peer_calls.py
@@ -1,4 +1,4 @@
-"""Calls between entries over HTTP with CBOR bodies."""
+"""Make calls to other entries over HTTP with CBOR bodies."""
 
 from __future__ import annotations
 
@@ -21,25 +21,25 @@
 )
 
 PEER_HEADERS = HeaderNames()
-"""Calls between entries use the project's own header names on every deployment."""
+"""Header names of calls between entries, the same in every deployment."""
 
 
 class PeerCallError(Exception):
-    """A call to a peer brought no usable answer."""
+    """A call to a peer returned no usable answer."""
 
 
 class PeerCaller:
-    """Makes calls to other entries on kept connections."""
+    """Makes calls to other entries over persistent connections."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._connections = UpstreamConnections(clock)
 
     def call(self, peer: Peer, operation: str, body: Any, timeout: Millis) -> tuple[int, Any]:
-        """Return status and decoded body of a peer's answer.
+        """Return the status and decoded body of a peer's answer.
 
         Raises:
-            PeerCallError: There is none; the call may have had its effect.
+            PeerCallError: No usable answer arrived; the call may have taken effect.
         """
         request_id = uuid.uuid4().hex
         data = cbor2.dumps(body)
@@ -74,5 +74,5 @@
             call.close()
 
     def forget(self, identities: set[str]) -> None:
-        """Close connections to peers that are gone."""
+        """Close the connections to all peers but ``identities``, and those idle for too long."""
         self._connections.forget(identities)
--- a/packages/node/src/carobspool_node/direct/_peer_messages.py
+++ b/packages/node/src/carobspool_node/direct/_peer_messages.py
@@ -1,8 +1,8 @@
-"""What entries send each other, checked before anything of it is used.
+"""Define and validate the messages between entries before any of their content is used.
 
-Any process can send a datagram or make a call, and entries of other versions do. Unchecked, one
-hint with a field of another type ended the task that hears all others; the entry then took every
-peer for dead and ran their jobs again.
+Any process can send a datagram or make a call, and entries of other versions do. Without validation
+a single hint with a field of the wrong type ended the thread that receives hints; the entry then
+declared every peer dead and ran their jobs again.
 """
 
 from __future__ import annotations
@@ -27,28 +27,28 @@
     read_record,
 )
 
-MAX_NAME = 200
-"""Characters of the name of an entry, an upstream or a job."""
+MAX_NAME_CHARS = 200
+"""Longest name of an entry, an upstream or a job."""
 MAX_COUNT = 2**53
-"""Largest whole number that every reader keeps exact; counts are far below it."""
+"""Largest integer that every reader represents exactly; counts are far below it."""
 MAX_DIGEST = 2**64 - 1
-MAX_WAIT = 86_400_000.0
-"""Longest that a peer may have a read wait: a day, in milliseconds; a task can sleep that long."""
+MAX_WAIT_MS = 86_400_000.0
+"""Longest time for which a peer may let a read wait: a day, which a thread can sleep."""
 HIGHEST_PORT = 65_535
 
-Name = Annotated[str, Bounds(min_length=1, max_length=MAX_NAME)]
+Name = Annotated[str, Bounds(min_length=1, max_length=MAX_NAME_CHARS)]
 Count = Annotated[int, Bounds(ge=0, le=MAX_COUNT)]
 
 
 def _read_address(value: Any) -> tuple[str, int]:
     match value:
         case [str() as host, int() as port] if 1 <= port <= HIGHEST_PORT:
-            return _ip_number(host), int(port)
+            return _parse_ipv4(host), int(port)
     raise ValueError("a list of an IPv4 number and a port")
 
 
 @lru_cache(maxsize=4_096)
-def _ip_number(host: str) -> str:
+def _parse_ipv4(host: str) -> str:
     return str(ipaddress.IPv4Address(host))
 
 
@@ -56,16 +56,16 @@
 
 
 class EntryRecord(Record):
-    """An entry's object in the store."""
+    """An entry's registration in the store."""
 
     address: Address
 
 
 class Announcement(Record):
-    """What an entry tells of itself twice a second, and at once when some of it changes.
+    """State of an entry, sent periodically and at once when urgent state changes.
 
-    Entries of the version before tell their loads by the upstreams' bare ids, with the starts
-    beside them, and send none of the fields that have a default.
+    Entries of the previous version key loads by the upstream's instance id, send start times in a
+    separate field, and omit the fields that have a default.
     """
 
     name: Name = field(alias="n")
@@ -95,15 +95,15 @@
 
 
 class ResultsCall(Record):
-    """A peer reads results of a job that this entry owns."""
+    """A peer's call to read results of a job that this entry owns."""
 
     id: Name
     after: Count
-    wait: Annotated[float, Bounds(ge=0, le=MAX_WAIT)]
+    wait: Annotated[float, Bounds(ge=0, le=MAX_WAIT_MS)]
 
 
 class EndCall(Record):
-    """A peer ends a job that this entry owns."""
+    """A peer's call to end a job that this entry owns."""
 
     id: Name
 
@@ -146,14 +146,14 @@
 
 
 class StoreObjectAnswer(Record):
-    """One object that a peer has read or written."""
+    """A peer's answer with an object that it has read or written."""
 
     version: Count
     value: Annotated[Any, JSON_VALUE]
 
 
 class StorePageAnswer(Record):
-    """A page that a peer has read; each object stands as key, version and value."""
+    """A peer's answer with a page of objects, each as a list of key, version and value."""
 
     revision: Count
     more: bool
@@ -162,7 +162,7 @@
 
 
 class StoreFaultAnswer(Record):
-    """A call of a peer that failed; the object as it stands, as version and value."""
+    """A peer's answer for a failed call, with the current object as version and value."""
 
     fault: Literal[tuple(each.value for each in StoreFault)]  # type: ignore[valid-type]
     detail: str
@@ -170,25 +170,28 @@
 
 
 def decode_cbor(data: bytes) -> Json:
-    """Decode what a peer sent.
+    """Decode the CBOR of a peer's message.
 
     Raises:
-        UnusableRecordError: It is no CBOR.
+        UnusableRecordError: The data is not valid CBOR.
     """
     try:
         return cbor2.loads(data)
     except Exception as error:  # noqa: BLE001
-        # The decoder's own errors, and for tagged values those of dates, numbers and patterns.
-        problem = Problem(file="", path="(body)", found=repr(error)[:MAX_NAME], allowed="CBOR")
+        # Besides its own errors, the decoder raises those of the parsers for dates, numbers and
+        # patterns in tagged values.
+        problem = Problem(
+            file="", path="(body)", found=repr(error)[:MAX_NAME_CHARS], allowed="CBOR"
+        )
         raise UnusableRecordError([problem]) from error
 
 
 def read_store_call(value: Json) -> StoreCall:
-    """Read a call on the store that a peer asks for."""
+    """Read a peer's request for a store call."""
     return read_record(_StoreEnvelope, {"call": value}).call
 
 
 def read_results(value: Json) -> tuple[int, Sequence[ItemResult]]:
-    """Read the number of a job's items and results from a peer's answer."""
+    """Return the number of a job's items and the results in a peer's answer."""
     model = read_record(_ResultsAnswer, value)
     return model.total, results_from_json(model.results)
--- a/packages/node/src/carobspool_node/direct/_peer_table.py
+++ b/packages/node/src/carobspool_node/direct/_peer_table.py
@@ -16,7 +16,7 @@
 from carobspool_node.direct._bad_records import shown
 from carobspool_node.direct._load_hint import CountsHint, LoadHint
 from carobspool_node.direct._peer import Peer
-from carobspool_node.direct._peer_messages import MAX_NAME, Announcement
+from carobspool_node.direct._peer_messages import MAX_NAME_CHARS, Announcement
 
 
 class Targets(Struct, frozen=True, kw_only=True):
@@ -179,7 +179,7 @@
                 )
                 self._peers[announcement.name] = known
                 self._new_peers.add(announcement.name)
-                logging.info("event=peer_seen peer=%s", shown(known.identity, 2 * MAX_NAME))
+                logging.info("event=peer_seen peer=%s", shown(known.identity, 2 * MAX_NAME_CHARS))
             known.heard = now
             known.address = announcement.address
             if announcement.name not in self._addresses:
