--- a/packages/node/src/carobspool_node/direct/_store_relay.py
+++ b/packages/node/src/carobspool_node/direct/_store_relay.py
@@ -1,14 +1,15 @@
-"""An object store that goes through another entry when this one is turned away.
+"""Call the object store, through another entry if the store does not serve this one.
 
-The store sometimes refuses single machines while it serves the others, or is cut off from them.
-Without a way around, such an entry could accept no job and commit no result, and would serve an old
-configuration, for as long as that lasts.
+The store sometimes refuses single hosts while it serves others, or becomes unreachable from them.
+Without a relay such an entry could accept no jobs and commit no results, and would serve an
+outdated configuration, until the store serves it again.
 
 Writes are conditional: they create an object or name the version that they replace. So a write
-whose answer is lost is made again through a peer. Whichever of the two comes second conflicts with
-an object of the same value, which tells that the write is done. For the same reason a write that a
-caller waits for goes through a peer already while its answer is only late: most entries call the
-store rarely, and learn by such a write that it does not hear them.
+without an answer can be repeated through a peer. Whichever of the two writes arrives second
+conflicts with an object of the same value, which shows that the write has succeeded. For the same
+reason a write for which a caller waits is hedged, that is, sent through a peer too while its answer
+is late. Most entries call the store rarely, and such a write is often the first call to show that
+the store does not answer this entry.
 """
 
 from __future__ import annotations
@@ -49,21 +50,21 @@
 from carobspool_node.direct._telemetry import Telemetry
 
 RELAY_TIMEOUT: Millis = 2_000.0
-REFUSED_TIME: Millis = 1_000.0
-"""How long after a refusal the way through a peer is tried first; then the store is asked again."""
-RELAYS_TRIED = 2
-READS = ("get", "list")
-HEDGE_AFTER: Millis = 120.0
-"""Wait for an answer to a new object after which a peer is asked besides; one takes some 10 ms."""
-HEDGED = "jobs/"
-"""Kind of objects whose creation a caller waits for."""
+RELAY_FIRST_TIME: Millis = 1_000.0
+"""Time after a refusal in which calls are relayed first; then the store itself is called again."""
+MAX_RELAY_ATTEMPTS = 2
+READ_OPERATIONS = ("get", "list")
+HEDGE_DELAY: Millis = 120.0
+"""Time after which an unanswered creation is also sent through a peer; answers take about 10 ms."""
+HEDGED_PREFIX = "jobs/"
+"""Prefix of the objects for whose creation a caller waits."""
 HEDGE_WORKERS = 8
 
-Answer = Result[Any, StoreFailure]
+StoreResult = Result[Any, StoreFailure]
 
 
 class RelayedStore:
-    """Store calls that fall back on a peer; one instance serves all tasks of a process."""
+    """An object store that falls back on peers; all threads of a process share one instance."""
 
     def __init__(
         self,
@@ -79,27 +80,27 @@
         self._telemetry = telemetry
         self._peers = peers
         self._refused_until: Millis = 0.0
-        self._answered: Millis = clock.now()
-        self._hedges = ThreadPoolExecutor(HEDGE_WORKERS, thread_name_prefix="hedge")
+        self._answered_at: Millis = clock.now()
+        self._hedge_pool = ThreadPoolExecutor(HEDGE_WORKERS, thread_name_prefix="hedge")
         self._bad_listings = BadRecords(clock, telemetry, "listing", "prefix")
 
     @property
     def reachable(self) -> bool:
-        """Whether to ask the store itself, and not a peer first."""
+        """Whether calls go to the store itself first, and not to a peer."""
         return self._clock.now() >= self._refused_until
 
     @property
     def answered_last(self) -> bool:
-        """Whether the store answered this process when it last asked."""
+        """Whether the store answered the last call of this process."""
         return self._refused_until <= 0.0
 
     @property
     def answer_age(self) -> Millis:
-        """How long ago the store last answered this process."""
-        return self._clock.now() - self._answered
+        """Time since the store last answered this process."""
+        return self._clock.now() - self._answered_at
 
     def get(self, key: str) -> Result[StoredObject, StoreFailure]:
-        """Read one object."""
+        """Read an object."""
         return self._call("get", key, lambda: self._direct.get(key), {})
 
     def list(
@@ -110,105 +111,107 @@
         return self._call("list", prefix, direct, {"after": after, "limit": limit})
 
     def create(self, key: str, value: Json) -> Result[StoredObject, StoreFailure]:
-        """Write an object that must not exist yet."""
+        """Create an object; fails if the key exists."""
         extra = {"value": value}
-        if key.startswith(HEDGED) and self.reachable:
-            return self._hedged("create", key, lambda: self._direct.create(key, value), extra)
+        if key.startswith(HEDGED_PREFIX) and self.reachable:
+            return self._call_hedged("create", key, lambda: self._direct.create(key, value), extra)
         return self._call("create", key, lambda: self._direct.create(key, value), extra)
 
     def update(self, key: str, value: Json, *, version: int) -> Result[StoredObject, StoreFailure]:
-        """Replace an object whose version must be ``version``."""
+        """Replace an object if its version is ``version``."""
         extra = {"value": value, "version": version}
         return self._call(
             "update", key, lambda: self._direct.update(key, value, version=version), extra
         )
 
     def delete(self, key: str, *, version: int) -> Result[None, StoreFailure]:
-        """Remove an object; never relayed."""
-        return self._note("delete", key, self._direct.delete(key, version=version))
+        """Remove an object. This call is never relayed."""
+        return self._record_outcome("delete", key, self._direct.delete(key, version=version))
 
     def watch(
         self, prefix: str, *, revision: int, timeout: Millis
     ) -> Result[WatchBatch, StoreFailure]:
-        """Wait for changes; never relayed."""
+        """Wait for changes under a prefix. This call is never relayed."""
         answer = self._direct.watch(prefix, revision=revision, timeout=timeout)
-        return self._note("watch", prefix, answer)
+        return self._record_outcome("watch", prefix, answer)
 
     def serve_relay(self, call: StoreCall) -> Json:
-        """Make a call to the store for a peer."""
+        """Make a store call on behalf of a peer and return the encoded result."""
         if call.op == "get":
-            answer: Answer = self._direct.get(call.key)
+            answer: StoreResult = self._direct.get(call.key)
         elif call.op == "list":
             answer = self._direct.list(call.key, after=call.after, limit=call.limit)
         elif call.op == "create":
             answer = self._direct.create(call.key, call.value)
         else:
             answer = self._direct.update(call.key, call.value, version=call.version)
-        return _encode(self._note(call.op, call.key, answer))
+        return _encode(self._record_outcome(call.op, call.key, answer))
 
     def _call(
-        self, operation: str, key: str, direct: Callable[[], Answer], extra: dict[str, Any]
-    ) -> Answer:
+        self, operation: str, key: str, direct: Callable[[], StoreResult], extra: dict[str, Any]
+    ) -> StoreResult:
         if not self.reachable:
             relayed = self._relay(operation, key, extra)
             if relayed is not None:
                 return relayed
-        answer = self._note(operation, key, direct())
+        answer = self._record_outcome(operation, key, direct())
         if _is_refused(answer) or _is_unknown(answer):
             relayed = self._relay(operation, key, extra)
             if relayed is not None:
                 return relayed
         return answer
 
-    def _hedged(
-        self, operation: str, key: str, direct: Callable[[], Answer], extra: dict[str, Any]
-    ) -> Answer:
-        asked = self._hedges.submit(direct)
+    def _call_hedged(
+        self, operation: str, key: str, direct: Callable[[], StoreResult], extra: dict[str, Any]
+    ) -> StoreResult:
+        pending = self._hedge_pool.submit(direct)
         try:
-            answer = self._note(operation, key, asked.result(HEDGE_AFTER / 1000.0))
+            answer = self._record_outcome(operation, key, pending.result(HEDGE_DELAY / 1000.0))
         except TimeoutError:
             relayed = self._relay(operation, key, extra)
             if relayed is not None and not _is_unknown(relayed):
-                asked.add_done_callback(lambda late: self._note_late(operation, key, late))
+                pending.add_done_callback(
+                    lambda late: self._record_late_outcome(operation, key, late)
+                )
                 return relayed
-            answer = self._note(operation, key, asked.result())
+            answer = self._record_outcome(operation, key, pending.result())
             return answer if relayed is None or is_successful(answer) else relayed
         if _is_refused(answer) or _is_unknown(answer):
             return self._relay(operation, key, extra) or answer
         return answer
 
-    def _note_late(self, operation: str, key: str, late: Future[Answer]) -> None:
+    def _record_late_outcome(self, operation: str, key: str, late: Future[StoreResult]) -> None:
         if late.exception() is None:
-            self._note(operation, key, late.result())
+            self._record_outcome(operation, key, late.result())
 
-    def _note(self, operation: str, key: str, answer: Answer) -> Answer:
+    def _record_outcome(self, operation: str, key: str, answer: StoreResult) -> StoreResult:
         outcome = "done" if is_successful(answer) else answer.failure().fault.value
         kind = key.partition("/")[0]
         self._telemetry.count("store_calls", call=operation, kind=kind, outcome=outcome)
         if _is_refused(answer) or _is_unknown(answer):
-            self._refused_until = self._clock.now() + REFUSED_TIME
+            self._refused_until = self._clock.now() + RELAY_FIRST_TIME
         elif is_successful(answer):
             self._refused_until = 0.0
-            self._answered = self._clock.now()
-            self._note_unreadable(key, answer.unwrap())
+            self._answered_at = self._clock.now()
+            self._report_unreadable(key, answer.unwrap())
         return answer
 
-    def _note_unreadable(self, prefix: str, found: object) -> None:
+    def _report_unreadable(self, prefix: str, found: object) -> None:
         if not isinstance(found, ObjectPage | WatchBatch) or not found.unreadable:
             return
-        reason = f"{found.unreadable} objects whose names cannot be read"
+        reason = f"{found.unreadable} objects with unreadable names"
         if isinstance(found, ObjectPage):
             self._bad_listings.note(prefix, reason)
         else:
             self._bad_listings.tell(prefix, reason)
 
-    def _relay(self, operation: str, key: str, extra: dict[str, Any]) -> Answer | None:
+    def _relay(self, operation: str, key: str, extra: dict[str, Any]) -> StoreResult | None:
         peers = [each for each in self._peers().live() if each.store_ok and not each.leaving]
-        # Most entries ask the store rarely; what they tell of it may be long out of date.
+        # Most entries call the store rarely, so what they report of it may be long out of date.
         peers.sort(key=lambda each: (each.answer_age, -each.heard))
         body = {"op": operation, "key": key, **extra}
-        unknown: Answer | None = None
-        for peer in peers[:RELAYS_TRIED]:
+        unknown: StoreResult | None = None
+        for peer in peers[:MAX_RELAY_ATTEMPTS]:
             started = time.monotonic()
             try:
                 status, found = self._caller.call(peer, "store", body, RELAY_TIMEOUT)
@@ -235,46 +238,51 @@
                 unknown = answer
             elif not _is_refused(answer):
                 return answer
-        return None if operation in READS else unknown
+        return None if operation in READ_OPERATIONS else unknown
 
 
-def _is_refused(answer: Answer) -> bool:
+def _is_refused(answer: StoreResult) -> bool:
     return not is_successful(answer) and answer.failure().fault is StoreFault.UNAVAILABLE
 
 
-def _is_unknown(answer: Answer) -> bool:
+def _is_unknown(answer: StoreResult) -> bool:
     return not is_successful(answer) and answer.failure().fault is StoreFault.UNKNOWN
 
 
-def _encode(answer: Answer) -> Json:
+def _encode(answer: StoreResult) -> Json:
     if is_successful(answer):
         found = answer.unwrap()
         if isinstance(found, ObjectPage):
-            objects = [[each.key, each.version, _sendable(each.value)] for each in found.objects]
-            sendable = [each for each in objects if _is_sendable(each[0])]
+            objects = [
+                [each.key, each.version, _encodable_or_none(each.value)] for each in found.objects
+            ]
+            encodable = [each for each in objects if _is_encodable(each[0])]
             return {
                 "revision": found.revision,
                 "more": found.more,
-                "objects": sendable,
-                "unreadable": found.unreadable + len(objects) - len(sendable),
+                "objects": encodable,
+                "unreadable": found.unreadable + len(objects) - len(encodable),
             }
-        return {"version": found.version, "value": _sendable(found.value)}
+        return {"version": found.version, "value": _encodable_or_none(found.value)}
     failure = answer.failure()
     current = failure.current
     return {
         "fault": failure.fault.value,
         "detail": failure.detail,
-        "current": None if current is None else [current.version, _sendable(current.value)],
+        "current": (
+            None if current is None else [current.version, _encodable_or_none(current.value)]
+        ),
     }
 
 
-def _sendable(value: Json) -> Json:
-    """Return a value, or ``None`` for one that would spoil the whole answer."""
-    return value if _is_sendable(value) else None
+def _encodable_or_none(value: Json) -> Json:
+    """Return a value, or ``None`` if CBOR cannot encode it, so that the rest can be sent."""
+    return value if _is_encodable(value) else None
 
 
-def _is_sendable(value: Json) -> bool:
-    # JSON can hold halves of surrogate pairs, which are no UTF-8, and any depth.
+def _is_encodable(value: Json) -> bool:
+    # JSON values can contain unpaired surrogates, which UTF-8 cannot encode, and can be nested
+    # too deeply.
     try:
         cbor2.dumps(value)
     except (ValueError, OverflowError, RecursionError, cbor2.CBOREncodeError):
@@ -282,11 +290,11 @@
     return True
 
 
-def _decode(key: str, answer: Json) -> Answer:
-    """Read a peer's answer.
+def _decode(key: str, answer: Json) -> StoreResult:
+    """Decode a peer's answer to a relayed call.
 
     Raises:
-        UnusableRecordError: It is none.
+        UnusableRecordError: The answer is invalid.
     """
     if not isinstance(answer, dict):
         answer = {}
--- a/packages/node/tests/test_direct_relayed.py
+++ b/packages/node/tests/test_direct_relayed.py
@@ -1,4 +1,4 @@
-"""Listings that an entry gets through a peer, with objects that cannot be sent or are none."""
+"""Listings relayed by a peer, with objects that cannot be encoded or are invalid."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from carobspool_node.direct._store_relay import _decode, _encode
 
 
-def test_what_cannot_be_sent_of_one_object_spoils_no_relayed_listing() -> None:
+def test_an_object_that_cannot_be_encoded_does_not_spoil_a_relayed_listing() -> None:
     objects = [
         StoredObject(key="servers/a", version=1, value={"n": 1}),
         StoredObject(key="servers/b", version=2, value={"n": "\ud800"}),
@@ -24,7 +24,7 @@
     assert (found.revision, found.unreadable) == (9, 2)
 
 
-def test_a_relayed_object_that_is_none_is_counted_and_the_others_hold() -> None:
+def test_an_invalid_relayed_object_is_counted_and_the_others_are_kept() -> None:
     good = ["servers/a", 1, {"n": 1}]
     bad = [None, [], ["servers/b"], ["servers/b", "1", {}], [7, 1, {}], ["jobs/j", 1, {}]]
     answer = {"revision": 9, "more": False, "objects": [*bad, good]}
@@ -34,6 +34,6 @@
 
 
 @pytest.mark.parametrize("answer", [None, [], {}, {"objects": []}, {"fault": "new"}, {"value": 1}])
-def test_an_answer_of_a_peer_that_is_none_is_refused(answer: object) -> None:
+def test_an_invalid_answer_of_a_peer_is_rejected(answer: object) -> None:
     with pytest.raises(UnusableRecordError):
         _decode("servers/", answer)
--- a/packages/node/tests/test_direct_store_relay.py
+++ b/packages/node/tests/test_direct_store_relay.py
@@ -1,4 +1,4 @@
-"""Store calls of an entry that is cut off from the store or turned away by it."""
+"""Store calls of an entry that cannot reach the store or is refused by it."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class _DirectStore:
-    """Answers every write in the same way."""
+    """Fails every write with the same fault."""
 
     def __init__(self, fault: StoreFault) -> None:
         self._fault = fault
@@ -38,13 +38,13 @@
 
 
 class _Caller:
-    """Gives one answer after the other, whichever peer is called."""
+    """Returns the given answers in order, whichever peer is called; ``None`` is no answer."""
 
     def __init__(self, answers: Sequence[Json | None]) -> None:
         self._answers = list(answers)
         self.bodies: list[Json] = []
 
-    def call(self, peer: Peer, what: str, body: Json, timeout: Millis) -> tuple[int, Json]:
+    def call(self, peer: Peer, operation: str, body: Json, timeout: Millis) -> tuple[int, Json]:
         self.bodies.append(body)
         answer = self._answers.pop(0)
         if answer is None:
@@ -65,17 +65,17 @@
 
 
 DONE = {"version": 7, "value": {"x": 1}}
-TURNED_AWAY = {"fault": "unavailable", "detail": "", "current": None}
+REFUSED_BY_PEER = {"fault": "unavailable", "detail": "", "current": None}
 
 
 @pytest.mark.parametrize("operation", ["create", "update"])
-@pytest.mark.parametrize("answers", [[DONE], [None, DONE], [TURNED_AWAY, DONE]])
+@pytest.mark.parametrize("answers", [[DONE], [None, DONE], [REFUSED_BY_PEER, DONE]])
 def test_a_write_without_an_answer_is_made_again_through_a_peer(
     operation: str, answers: Sequence[Json | None]
 ) -> None:
-    """An entry loses its way to the store with a write under way. Its caller would be told that the
-    end of its job is unknown, or nothing before its own time is over. The same conditional write
-    through a peer settles it, whether the first one has taken effect or never does."""
+    """An entry loses its connection to the store during a write. Without a relay its caller would
+    get an unknown outcome, or no answer before its deadline. The same conditional write through a
+    peer gives a definite outcome, whether or not the first write takes effect."""
     direct = _DirectStore(StoreFault.UNKNOWN)
     caller = _Caller(answers)
     store = _store(direct, caller)
@@ -88,23 +88,26 @@
     assert direct.calls == 1
 
 
-@pytest.mark.parametrize("answers", [[None, None], [None, TURNED_AWAY], [TURNED_AWAY, None]])
-def test_what_no_peer_settles_stays_unknown(answers: Sequence[Json | None]) -> None:
-    """A peer that falls silent may have written. Told that nothing was done, the caller would send
-    its job elsewhere and have it twice."""
+@pytest.mark.parametrize(
+    "answers", [[None, None], [None, REFUSED_BY_PEER], [REFUSED_BY_PEER, None]]
+)
+def test_a_write_that_no_peer_can_settle_stays_unknown(answers: Sequence[Json | None]) -> None:
+    """A peer that does not answer may have made the write. If the write were reported as not made,
+    the caller would submit its job elsewhere, and the job would run twice."""
     store = _store(_DirectStore(StoreFault.UNKNOWN), _Caller(answers))
     assert store.create("jobs/a", {"x": 1}).failure().fault is StoreFault.UNKNOWN
 
 
-def test_a_write_that_all_turn_away_was_not_made() -> None:
+def test_a_write_that_the_store_refuses_on_every_way_was_not_made() -> None:
     store = _store(
-        _DirectStore(StoreFault.UNAVAILABLE), _Caller([TURNED_AWAY, TURNED_AWAY, TURNED_AWAY])
+        _DirectStore(StoreFault.UNAVAILABLE),
+        _Caller([REFUSED_BY_PEER, REFUSED_BY_PEER, REFUSED_BY_PEER]),
     )
     assert store.create("jobs/a", {"x": 1}).failure().fault is StoreFault.UNAVAILABLE
 
 
 class _LateStore(_DirectStore):
-    """Answers only when it is let."""
+    """Returns its answer only after the test has set ``late``."""
 
     def __init__(self, answer: Answer) -> None:
         super().__init__(StoreFault.UNAVAILABLE)
@@ -122,9 +125,10 @@
 REFUSED = Failure(StoreFailure(fault=StoreFault.UNAVAILABLE, key="jobs/a"))
 
 
-def test_a_submission_does_not_wait_for_a_store_that_does_not_hear_this_entry() -> None:
-    """The entry is cut off and does not know it yet. Its caller waited until the connection had
-    timed out before a peer was asked, and the job's answer came too late for all of its items."""
+def test_a_submission_does_not_wait_for_a_store_that_does_not_answer() -> None:
+    """The entry has lost its connection to the store and does not know it yet. Guards against asking
+    a peer only after the connection has timed out: the caller then got its answer too late for all
+    items of the job."""
     direct = _LateStore(LOST)
     store = _store(direct, _Caller([DONE]))
     started = time.monotonic()
@@ -141,18 +145,19 @@
 @pytest.mark.parametrize(
     ("late", "relayed", "found"),
     [
-        (MADE, [TURNED_AWAY, TURNED_AWAY], MADE),
+        (MADE, [REFUSED_BY_PEER, REFUSED_BY_PEER], MADE),
         (MADE, [None, None], MADE),
-        (REFUSED, [TURNED_AWAY, TURNED_AWAY], StoreFault.UNAVAILABLE),
-        (REFUSED, [None, TURNED_AWAY], StoreFault.UNKNOWN),
-        (LOST, [TURNED_AWAY, TURNED_AWAY], StoreFault.UNKNOWN),
+        (REFUSED, [REFUSED_BY_PEER, REFUSED_BY_PEER], StoreFault.UNAVAILABLE),
+        (REFUSED, [None, REFUSED_BY_PEER], StoreFault.UNKNOWN),
+        (LOST, [REFUSED_BY_PEER, REFUSED_BY_PEER], StoreFault.UNKNOWN),
         (LOST, [None, None], StoreFault.UNKNOWN),
     ],
 )
-def test_a_late_submission_is_told_as_what_is_known_of_both_ways(
+def test_the_outcome_of_a_late_submission_follows_from_both_writes(
     late: Answer, relayed: Sequence[Json | None], found: Answer | StoreFault
 ) -> None:
-    """Told as not made although one of the two ways may have made it, a job would come twice."""
+    """One of the two writes may have succeeded. If the job were reported as not submitted, the
+    caller would submit it again and it would run twice."""
     direct = _LateStore(late)
     threading.Timer(0.3, direct.late.set).start()
     answer = _store(direct, _Caller(relayed)).create("jobs/a", {"x": 1})
@@ -162,16 +167,16 @@
         assert answer == found
 
 
-def test_a_peer_that_the_store_answered_of_late_is_asked_first() -> None:
-    """Most entries ask the store rarely; what they last knew of it may be out of date."""
+def test_the_peer_with_the_most_recent_store_answer_is_asked_first() -> None:
+    """Most entries call the store rarely, so their reports about it may be out of date."""
     asked: list[str] = []
 
-    class _Noting(_Caller):
-        def call(self, peer: Peer, what: str, body: Json, timeout: Millis) -> tuple[int, Json]:
+    class _RecordingCaller(_Caller):
+        def call(self, peer: Peer, operation: str, body: Json, timeout: Millis) -> tuple[int, Json]:
             asked.append(peer.name)
-            return super().call(peer, what, body, timeout)
+            return super().call(peer, operation, body, timeout)
 
-    class _Aged(_Peers):
+    class _PeersWithAges(_Peers):
         def live(self) -> list[Peer]:
             peers = super().live()
             peers[0].answer_age = 20_000.0
@@ -179,10 +184,10 @@
 
     store = RelayedStore(
         _DirectStore(StoreFault.UNKNOWN),  # type: ignore[arg-type]
-        _Noting([DONE]),  # type: ignore[arg-type]
+        _RecordingCaller([DONE]),  # type: ignore[arg-type]
         Clock(lambda: 1_000.0),
         Telemetry(),
-        lambda: _Aged(),  # type: ignore[arg-type, return-value]
+        lambda: _PeersWithAges(),  # type: ignore[arg-type, return-value]
     )
     assert store.update("jobs/a", {"x": 1}, version=6) == MADE
     assert asked == ["c"]
