--- a/packages/node/src/carobspool_node/direct/_bad_records.py
+++ b/packages/node/src/carobspool_node/direct/_bad_records.py
@@ -1,9 +1,9 @@
-"""Records that cannot be used: one log line for each and its change, within bounds, and a count.
+"""Log and count records that cannot be used, with a limit on the rate of log lines.
 
-Any process can write to the store, and thousands of bad records may lie there, read every few
-seconds. A line for each reading would cost more than the requests and push other lines out of the
-log's queue; so a line comes when a record turns bad, is bad in another way, or has mended, and no
-more than `LINES` in `WINDOW`. The counter holds all.
+Any process can write to the store, which may hold thousands of bad records that are read every few
+seconds. A log line for each reading would cost more than serving the requests, and would push other
+lines out of the log's queue. So a line is logged only when a record becomes bad, is bad for another
+reason, or is valid again, and at most `MAX_LINES` in each `LOG_WINDOW`. The counter is not limited.
 """
 
 from __future__ import annotations
@@ -16,25 +16,25 @@
 from carobspool_core import Clock, Millis
 from carobspool_node.direct._telemetry import Telemetry
 
-LINES = 50
-WINDOW: Millis = 10_000.0
-"""Five lines a second on average, of the 2,000 that the log's queue holds."""
-TRACKED = 20_000
-"""Bad records that are remembered, at some 150 bytes each; the oldest go first, and are told and
-counted once more if they are still there."""
-SHOWN = 300
-"""Characters of a reason in a line: two problems with their field, found and allowed."""
-NAME_SHOWN = 80
+MAX_LINES = 50
+LOG_WINDOW: Millis = 10_000.0
+"""`MAX_LINES` in this time are five lines a second on average; the log's queue holds 2,000."""
+MAX_TRACKED_RECORDS = 20_000
+"""Bad records that are remembered, at about 150 bytes each. The oldest are dropped first, and are
+logged and counted again if they are still there."""
+MAX_REASON_CHARS = 300
+"""Longest reason in a line: two problems with their field, found and allowed values."""
+MAX_NAME_CHARS = 80
 
 
 class BadRecords:
-    """Tells of the bad records of one kind.
+    """Logs and counts the bad records of one kind.
 
     Args:
         clock: The process's clock.
-        telemetry: Counts them.
-        kind: What they should be, for log and counter.
-        field: Name of the pair that tells which record, in a line.
+        telemetry: Counts the bad records.
+        kind: Kind of the records, for log lines and the counter.
+        field: Key of a log line under which the record's name stands.
     """
 
     def __init__(self, clock: Clock, telemetry: Telemetry, kind: str, field: str) -> None:
@@ -43,65 +43,69 @@
         self._kind = kind
         self._field = field
         self._lock = threading.Lock()
-        self._told: dict[int, int] = {}
+        self._reported: dict[int, int] = {}
         self._window_end: Millis = 0.0
         self._lines = 0
         self._unlogged = 0
 
     def note(self, name: str, reason: object) -> None:
-        """Take a record that cannot be used; only a change is told and counted."""
-        digest = _key(str(reason))
+        """Log and count a bad record if it is new or bad for another reason than before."""
+        digest = _digest(str(reason))
         with self._lock:
-            key = _key(name)
-            if self._told.get(key) == digest:
+            key = _digest(name)
+            if self._reported.get(key) == digest:
                 return
-            self._told.pop(key, None)
-            self._told[key] = digest
-            if len(self._told) > TRACKED:
-                del self._told[next(iter(self._told))]
+            self._reported.pop(key, None)
+            self._reported[key] = digest
+            if len(self._reported) > MAX_TRACKED_RECORDS:
+                del self._reported[next(iter(self._reported))]
         self.tell(name, reason)
 
     def tell(self, name: str, reason: object) -> None:
-        """Count and log one that is gone again, as a datagram is."""
+        """Count and log a bad record without remembering it, such as a datagram."""
         self._telemetry.count("bad_records", kind=self._kind)
-        unlogged = self._take_line()
+        unlogged = self._reserve_line()
         if unlogged is None:
             return
         logging.warning(
             "event=bad_%s %s=%s reason=%r unlogged=%d",
             self._kind,
             self._field,
-            shown(name, NAME_SHOWN),
-            shown(str(reason), SHOWN),
+            shown(name, MAX_NAME_CHARS),
+            shown(str(reason), MAX_REASON_CHARS),
             unlogged,
         )
 
     def mended(self, name: str) -> None:
-        """Take that a record can be used, or is gone."""
-        if not self._told:
+        """Log that a record is valid again or gone, if it was known as bad."""
+        if not self._reported:
             return
         with self._lock:
-            if self._told.pop(_key(name), None) is None:
+            if self._reported.pop(_digest(name), None) is None:
                 return
-        unlogged = self._take_line()
+        unlogged = self._reserve_line()
         if unlogged is None:
             return
         logging.info(
             "event=%s_mended %s=%s unlogged=%d",
             self._kind,
             self._field,
-            shown(name, NAME_SHOWN),
+            shown(name, MAX_NAME_CHARS),
             unlogged,
         )
 
-    def _take_line(self) -> int | None:
-        """Return how many lines were left out since the last one, ``None`` to leave this out."""
+    def _reserve_line(self) -> int | None:
+        """Count a log line against the limit.
+
+        Returns:
+            How many lines were dropped since the last logged one, ``None`` to drop this line too.
+        """
         now = self._clock.now()
         with self._lock:
             if now >= self._window_end:
-                self._window_end = now + WINDOW
+                self._window_end = now + LOG_WINDOW
                 self._lines = 0
-            if self._lines >= LINES:
+            if self._lines >= MAX_LINES:
                 self._unlogged += 1
                 return None
             self._lines += 1
@@ -111,11 +115,11 @@
 
 
 def shown(text: str, limit: int) -> str:
-    """Return a foreign text for a line of the log: printable ASCII, and not long."""
+    """Return untrusted text in a form fit for a log line: printable ASCII, cut to ``limit``."""
     found = text[: limit + 1].encode("ascii", "backslashreplace").decode()
     found = "".join(each if each.isprintable() else "?" for each in found)
     return found if len(found) <= limit else f"{found[:limit]}..."
 
 
-def _key(text: str) -> int:
+def _digest(text: str) -> int:
     return xxh3_64_intdigest(text.encode("utf-8", "surrogatepass"))
--- a/packages/node/src/carobspool_node/direct/_bounded_cache.py
+++ b/packages/node/src/carobspool_node/direct/_bounded_cache.py
@@ -1,4 +1,4 @@
-"""A cache bounded by the size of what it holds."""
+"""A cache with a limit on the total size of its values."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class BoundedCache(Generic[_V]):
-    """Least recently used values, bounded by their summed size in bytes."""
+    """A least-recently-used cache; the total size of its values in bytes is limited."""
 
     def __init__(self, limit: int) -> None:
         self._limit = limit
@@ -19,7 +19,7 @@
         self._lock = threading.Lock()
 
     def get(self, key: str) -> _V | None:
-        """Return a value and count it as used, ``None`` when it is not held."""
+        """Return a value and mark it as recently used; ``None`` if it is not in the cache."""
         with self._lock:
             found = self._values.get(key)
             if found is None:
@@ -28,7 +28,10 @@
             return found[0]
 
     def put(self, key: str, value: _V, size: int) -> None:
-        """Hold a value; the least recently used ones go when there is no room."""
+        """Store a value, and evict the least recently used ones while the size exceeds the limit.
+
+        The value itself is never evicted, even if it exceeds the limit alone.
+        """
         with self._lock:
             old = self._values.pop(key, None)
             self._size += size - (old[1] if old else 0)
--- a/packages/node/src/carobspool_node/direct/_packed_answer.py
+++ b/packages/node/src/carobspool_node/direct/_packed_answer.py
@@ -1,8 +1,8 @@
-"""Long answers between entries, compressed.
+"""Compress long answers between entries.
 
-Load pattern: every change of a registration has each entry ask one that follows the store for all
-registrations. With thousands of them these answers are most of what entries send each other, and
-they repeat the same few names of fields, services and failure domains.
+At every change of a registration, each entry fetches all registrations from an entry that follows
+the store. With thousands of registrations these answers make up most of the traffic between
+entries, and they repeat the same few names of fields, services and failure domains.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 from carobspool_node.direct._peer_messages import decode_cbor
 
 MAX_UNPACKED_BYTES = 64 * 1024 * 1024
-"""Longest answer that is unpacked; a few bytes could otherwise stand for gigabytes."""
-LEVEL = 3
-"""Of zlib; higher levels take far longer for little, and an answer must not hold up requests."""
+"""Longest answer that is decompressed; without a limit a few bytes could expand to gigabytes."""
+ZLIB_LEVEL = 3
+"""Higher levels take far longer for little gain, and an answer must not delay requests."""
 
 
 class AnswerPacker:
-    """Compresses answers; one that is given again is not compressed again. Safe for threads."""
+    """Compresses answers and caches the last one of each kind. Safe for threads."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -33,25 +33,26 @@
         """Return an answer's compressed form.
 
         Args:
-            kind: What is answered; the last answer of each kind is kept.
-            answer: The answer.
+            kind: Kind of the answer. An answer equal to the last one of its kind is not compressed
+                again.
+            answer: The answer to compress.
         """
         plain = cbor2.dumps(answer)
         with self._lock:
             last = self._last.get(kind)
         if last is not None and last[0] == plain:
             return last[1]
-        packed = zlib.compress(plain, LEVEL)
+        packed = zlib.compress(plain, ZLIB_LEVEL)
         with self._lock:
             self._last[kind] = (plain, packed)
         return packed
 
 
 def unpack_answer(data: bytes) -> Json:
-    """Return the answer that a peer has compressed.
+    """Decompress and decode a peer's answer.
 
     Raises:
-        UnusableRecordError: It is none, or longer than `MAX_UNPACKED_BYTES`.
+        UnusableRecordError: The answer is invalid, or longer than `MAX_UNPACKED_BYTES`.
     """
     unpacker = zlib.decompressobj()
     try:
--- a/packages/node/src/carobspool_node/direct/_view_exchange.py
+++ b/packages/node/src/carobspool_node/direct/_view_exchange.py
@@ -1,7 +1,8 @@
-"""What is declared and registered, taken from another entry instead of the store.
+"""Fetch the configuration and the registered upstreams from another entry instead of the store.
 
-A few entries follow the store (`has_watch_duty`). The others see in announcements that one of them
-knows more, and ask it for all of it. What cannot be had from a peer is read from the store.
+A few entries follow the store (`has_watch_duty`). The other entries see in announcements that a
+peer has a newer version, and fetch the whole view from it. What no peer can provide they read from
+the store.
 """
 
 from __future__ import annotations
@@ -25,19 +26,19 @@
 from carobspool_node.direct._peer_messages import Address, Count, Name
 
 PULL_TIMEOUT: Millis = 400.0
-"""Longest time for one call to a peer, which answers from memory."""
+"""Timeout of a call for a view, which the peer answers from memory."""
 CONFIRM_TIMEOUT: Millis = 150.0
-"""Longest time for the question which version a peer knows; a caller waits meanwhile."""
-CONFIRM_TRIES = 2
+"""Timeout of a call for the version that a peer knows; a caller waits for its result."""
+MAX_CONFIRM_ATTEMPTS = 2
 CONFIGURATION_VERSION = "configuration_version"
-PULL_PAUSE: Millis = 100.0
-"""Pause after a call that brought nothing, before any peer is asked again."""
+PULL_RETRY_PAUSE: Millis = 100.0
+"""Pause after a call without a newer view, before any peer is called again."""
 
 
 class ViewCall(Record):
-    """A peer asks for what this entry knows.
+    """A peer's call for a view that this entry has.
 
-    Entries of the version before ask for no packed answer.
+    Entries of the previous version do not ask for a compressed answer.
     """
 
     kind: Literal["configuration", "upstreams", "configuration_version"]
@@ -79,12 +80,12 @@
 
 
 class ViewExchange:
-    """Gives peers what this entry knows, and takes from them what it does not.
+    """Serves this entry's views to peers, and fetches newer views from them.
 
     Args:
         clock: The process's clock.
-        declared: What is known here.
-        caller: Calls peers.
+        declared: Views that this entry has.
+        caller: Makes calls to peers.
         peer: Returns a live peer by its name.
         live: Returns all live peers.
     """
@@ -104,55 +105,56 @@
         self._live = live
         self._lock = threading.Lock()
         self._pulling: set[str] = set()
-        self._not_before: Millis = 0.0
+        self._no_pull_before: Millis = 0.0
         self._packer = AnswerPacker()
         self._pulls = ThreadPoolExecutor(2, thread_name_prefix="view")
 
     def serve(self, call: ViewCall) -> Json:
-        """Return what is known here; ``None`` when nothing is."""
-        answer = self._known(call)
+        """Return the requested view, ``None`` if this entry does not have it."""
+        answer = self._requested_view(call)
         if answer is None or not call.packed:
             return answer
         return {"packed": self._packer.pack(call.kind, answer)}
 
-    def _known(self, call: ViewCall) -> Json:
+    def _requested_view(self, call: ViewCall) -> Json:
         if call.kind == CONFIGURATION_VERSION:
             return {"version": self._declared.versions()[CONFIGURATION]}
         if call.kind == CONFIGURATION:
-            known = self._declared.stored_configuration()
-            return None if known is None else {"revision": known[0], "value": known[1]}
+            stored = self._declared.stored_configuration()
+            return None if stored is None else {"revision": stored[0], "value": stored[1]}
         revision, view = self._declared.upstreams_view()
         return {
             "revision": revision,
-            "listed": [_upstream_record(each) for each in view.listed],
+            "listed": [_upstream_to_record(each) for each in view.listed],
             "lapsed": [
-                {"upstream": _upstream_record(each), "left": left} for each, left in view.lapsed
+                {"upstream": _upstream_to_record(each), "left": left} for each, left in view.lapsed
             ],
         }
 
     def compare(self, name: str, versions: Mapping[str, int]) -> None:
-        """Take from a peer what it knows and this entry does not."""
+        """Fetch the views of which a peer announces a newer version."""
         for kind in self._declared.newer_kinds(versions):
             peer = self._peer(name)
-            if peer is not None and self._begin(kind):
+            if peer is not None and self._start_pull(kind):
                 self._pulls.submit(self._pull, kind, peer)
-        # What stays different for longer than such a call takes is read from the store.
+        # A view that still differs after the time of such a call is read from the store.
         self._declared.compare(versions)
 
     def confirm_configuration(self) -> bool:
-        """Ask whether the configuration known here is the newest, and take over a newer one.
+        """Ask a peer whether this entry has the newest configuration, and fetch a newer one.
 
-        Asked is the peer that the store has answered last; the store itself is never asked, so that
-        callers cannot cause calls to it.
+        The peer is the one that the store has answered most recently. The store itself is not
+        called, so that callers cannot cause store calls.
 
         Returns:
-            Whether that could be told. An entry without peers goes by what it knows.
+            Whether the configuration is now confirmed as the newest. An entry without peers relies
+            on its own.
         """
         peers = [each for each in self._live() if not each.leaving]
         if not peers:
             return True
-        for peer in sorted(peers, key=_age_of_knowledge)[:CONFIRM_TRIES]:
-            version = self._version_at(peer)
+        for peer in sorted(peers, key=_staleness)[:MAX_CONFIRM_ATTEMPTS]:
+            version = self._fetch_configuration_version(peer)
             if version is None:
                 continue
             if version > self._declared.versions()[CONFIGURATION]:
@@ -160,7 +162,7 @@
             return version <= self._declared.versions()[CONFIGURATION]
         return False
 
-    def _version_at(self, peer: Peer) -> int | None:
+    def _fetch_configuration_version(self, peer: Peer) -> int | None:
         call = {"kind": CONFIGURATION_VERSION}
         try:
             status, answer = self._caller.call(peer, "view", call, CONFIRM_TIMEOUT)
@@ -172,27 +174,28 @@
             return None
 
     def close(self) -> None:
-        """Wait for the calls under way; nothing more is taken."""
+        """Start no more fetches and wait for those in progress."""
         with self._lock:
-            self._not_before = math.inf
+            self._no_pull_before = math.inf
         self._pulls.shutdown()
 
-    def _begin(self, kind: str) -> bool:
+    def _start_pull(self, kind: str) -> bool:
+        """Mark a view as being fetched; return false if it already is, or during a pause."""
         with self._lock:
-            if kind in self._pulling or self._clock.now() < self._not_before:
+            if kind in self._pulling or self._clock.now() < self._no_pull_before:
                 return False
             self._pulling.add(kind)
             return True
 
     def _pull(self, kind: str, peer: Peer) -> None:
         started = self._clock.now()
-        taken = False
+        adopted = False
         reason = ""
         try:
             call = {"kind": kind, "packed": True}
             status, answer = self._caller.call(peer, "view", call, PULL_TIMEOUT)
             if status == 200 and answer is not None:
-                taken = self._adopt(kind, _unpacked(answer))
+                adopted = self._adopt(kind, _unpack_if_packed(answer))
         except (PeerCallError, UnusableRecordError) as error:
             reason = str(error)
         except Exception as error:  # noqa: BLE001
@@ -201,14 +204,14 @@
         finally:
             with self._lock:
                 self._pulling.discard(kind)
-                if not taken:
-                    again = self._clock.now() + PULL_PAUSE
-                    self._not_before = max(self._not_before, again)
+                if not adopted:
+                    again = self._clock.now() + PULL_RETRY_PAUSE
+                    self._no_pull_before = max(self._no_pull_before, again)
         logging.info(
             "event=view_taken kind=%s peer=%s done=%s took_ms=%.0f reason=%r",
             kind,
             peer.identity,
-            taken,
+            adopted,
             self._clock.now() - started,
             reason,
         )
@@ -219,25 +222,25 @@
             return self._declared.adopt_configuration(found.revision, found.value)
         upstreams = read_record(_UpstreamsAnswer, answer)
         view = UpstreamsView(
-            listed=[_upstream(each) for each in upstreams.listed],
-            lapsed=[(_upstream(each.upstream), each.left) for each in upstreams.lapsed],
+            listed=[_upstream_from_record(each) for each in upstreams.listed],
+            lapsed=[(_upstream_from_record(each.upstream), each.left) for each in upstreams.lapsed],
         )
         return self._declared.adopt_upstreams(upstreams.revision, view)
 
 
-def _unpacked(answer: Json) -> Json:
-    """Return what a peer tells; one of the version before answers as it is."""
+def _unpack_if_packed(answer: Json) -> Json:
+    """Return a peer's answer, uncompressed; peers of the previous version never compress it."""
     if isinstance(answer, dict) and "packed" in answer:
         return unpack_answer(read_record(_PackedAnswer, answer).packed)
     return answer
 
 
-def _age_of_knowledge(peer: Peer) -> tuple[bool, Millis]:
-    """Order peers by how lately the store has answered them."""
+def _staleness(peer: Peer) -> tuple[bool, Millis]:
+    """Return a sort key that puts the peer with the most recent store answer first."""
     return not peer.store_ok, peer.answer_age
 
 
-def _upstream_record(upstream: Upstream) -> Mapping[str, str | int | bool | Sequence[str | int]]:
+def _upstream_to_record(upstream: Upstream) -> Mapping[str, str | int | bool | Sequence[str | int]]:
     return {
         "instance": upstream.instance,
         "service": upstream.service,
@@ -249,7 +252,7 @@
     }
 
 
-def _upstream(record: _UpstreamRecord) -> Upstream:
+def _upstream_from_record(record: _UpstreamRecord) -> Upstream:
     return Upstream(
         instance=record.instance,
         service=record.service,
--- a/packages/node/tests/test_direct_view_exchange.py
+++ b/packages/node/tests/test_direct_view_exchange.py
@@ -1,4 +1,4 @@
-"""What an entry takes from another one instead of reading it from the store."""
+"""Views that an entry fetches from a peer instead of the store."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class _Declared:
-    """Knows two upstreams, one of them lapsed, and a configuration."""
+    """Has a listed upstream, a lapsed one, and a configuration; records what it adopts."""
 
     def __init__(self) -> None:
         self.adopted: list[Any] = []
@@ -59,7 +59,7 @@
 
 
 class _Caller:
-    """Answers as a peer does, from a given function."""
+    """Returns the answers of a given function instead of calling a peer."""
 
     def __init__(self, answer: Any) -> None:
         self.answer = answer
@@ -86,11 +86,11 @@
     exchange.close()
 
 
-@pytest.mark.parametrize("packed", [True, False], ids=["packed", "version before"])
-def test_a_view_arrives_as_it_was_given(packed: bool) -> None:
-    giver = _exchange(_Declared(), _Caller(None))
+@pytest.mark.parametrize("packed", [True, False], ids=["packed", "previous version"])
+def test_a_view_arrives_unchanged(packed: bool) -> None:
+    server = _exchange(_Declared(), _Caller(None))
     declared = _Declared()
-    caller = _Caller(lambda body: (200, giver.serve(ViewCall(**{**body, "packed": packed}))))
+    caller = _Caller(lambda body: (200, server.serve(ViewCall(**{**body, "packed": packed}))))
     _compare(_exchange(declared, caller))
     assert sorted(declared.adopted, key=lambda each: each[0]) == [
         (7, {"version": 4}),
@@ -115,16 +115,16 @@
         "view",
     ],
 )
-def test_a_view_that_is_none_changes_nothing(answer: Json) -> None:
-    """Entries of other versions answer what they know; it must not empty the list here."""
+def test_an_invalid_view_changes_nothing(answer: Json) -> None:
+    """Entries of other versions may answer in another format, which must not empty the list."""
     declared = _Declared()
     _compare(_exchange(declared, _Caller(lambda body: (200, answer))))
     assert declared.adopted == []
     assert declared.compared == 1
 
 
-def test_a_peer_that_fails_is_not_asked_again_at_once() -> None:
-    """Announcements of dozens of entries come within milliseconds, and each would ask."""
+def test_after_a_failed_call_no_peer_is_asked_at_once() -> None:
+    """Dozens of announcements arrive within milliseconds, and each would cause a call."""
 
     def fail(body: Any) -> tuple[int, Any]:
         raise PeerCallError("gone")
@@ -136,14 +136,14 @@
     assert caller.calls <= 2
 
 
-def test_records_that_cannot_be_read_are_refused_with_a_reason() -> None:
+def test_records_that_cannot_be_read_are_rejected() -> None:
     with pytest.raises(UnusableRecordError):
         _exchange(_Declared(), _Caller(None))._adopt("upstreams", {"revision": 1, "listed": 3})
 
 
-def test_an_answer_for_hundreds_of_entries_is_short() -> None:
-    """Thousands of registrations, whole to each entry at each change, were most of what entries
-    sent each other."""
+def test_an_answer_with_thousands_of_registrations_is_compressed() -> None:
+    """Each entry fetches all registrations at each change. Uncompressed, these answers made up most
+    of the traffic between entries."""
     answer = {"revision": 9, "listed": [_record(number) for number in range(3_000)], "lapsed": []}
     packer = AnswerPacker()
     packed = packer.pack("upstreams", answer)
@@ -152,8 +152,8 @@
     assert unpack_answer(packed) == answer
 
 
-def test_a_packed_answer_cannot_fill_the_memory(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A few bytes of any process would stand for gigabytes."""
+def test_a_packed_answer_cannot_exhaust_memory(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Without a limit, a few bytes sent by any process could expand to gigabytes."""
     monkeypatch.setattr(_packed_answer, "MAX_UNPACKED_BYTES", 1_000)
     with pytest.raises(UnusableRecordError, match="longer"):
         unpack_answer(zlib.compress(cbor2.dumps("x" * 2_000)))
