--- a/packages/node/src/carobspool_node/direct/_suspects.py
+++ b/packages/node/src/carobspool_node/direct/_suspects.py
@@ -20,7 +20,7 @@
 class Suspects:
     """Upstreams that recently failed. Not safe for threads; callers pass the current time."""
 
-    __slots__ = ("_logged_as_avoided", "_failures", "_restarts", "_suspect_until")
+    __slots__ = ("_failures", "_logged_as_avoided", "_restarts", "_suspect_until")
 
     def __init__(self) -> None:
         self._suspect_until: dict[str, Millis] = {}
--- a/packages/node/tests/test_direct_store_relay.py
+++ b/packages/node/tests/test_direct_store_relay.py
@@ -126,7 +126,7 @@
 
 
 def test_a_submission_does_not_wait_for_a_store_that_does_not_answer() -> None:
-    """The entry has lost its connection to the store and does not know it yet. Guards against asking
+    """The entry has lost its connection to the store without noticing it yet. Guards against asking
     a peer only after the connection has timed out: the caller then got its answer too late for all
     items of the job."""
     direct = _LateStore(LOST)
