--- a/packages/node/src/carobspool_node/direct/_hint_sender.py
+++ b/packages/node/src/carobspool_node/direct/_hint_sender.py
@@ -91,8 +91,9 @@
         sequence = self._next_sequence()
         recipients = targets.load_recipients(sharers)
         with_counts = recipients & targets.counting if counts else frozenset()
-        without_counts = recipients - with_counts
-        self._send_load_hint(loads, backlog, {}, sequence, _addresses(targets, without_counts))
+        self._send_load_hint(
+            loads, backlog, {}, sequence, _addresses(targets, recipients - with_counts)
+        )
         self._send_load_hint(loads, backlog, counts, sequence, _addresses(targets, with_counts))
         counts_only = targets.counting - recipients
         if counts and counts_only and self._admit_counts_hint(len(counts_only)):
--- a/packages/node/tests/test_fleet_load.py
+++ b/packages/node/tests/test_fleet_load.py
@@ -1,4 +1,4 @@
-"""What callers get of fleets under bursts, by the decisions of real entries in simulated time."""
+"""Latency and completion on simulated fleets under bursts, with the load tables of real entries."""
 
 from __future__ import annotations
 
@@ -23,8 +23,9 @@
 @pytest.mark.parametrize("seed", [1, 2])
 def test_streams_of_a_burst_begin_in_time_on_a_large_fleet(seed: int) -> None:
     """Eighteen entries choose by the same loads, 100 ms old, in bursts of five times the calm rate.
-    Choosing the least loaded upstream of all, they met at the same ones: 95.3% of the streams began
-    within 300 ms. Their batch runs made room eight at a time: 2,700 interruptions of 330 items."""
+    Guards against two faults. When every entry chose the least loaded upstream of all, the entries
+    chose the same ones, and only 95.3% of the streams began within 300 ms. Batch runs were
+    preempted eight at a time, which made 2,700 interruptions of 330 items."""
     report = play_fleet(LARGE, seed)
     assert report.refused == 0
     assert report.on_time(300.0) > 0.975
@@ -34,7 +35,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_a_fleet_of_nine_serves_bursts_and_batch(seed: int) -> None:
+def test_a_fleet_of_nine_engines_serves_bursts_and_batch(seed: int) -> None:
     report = play_fleet(MIDDLE, seed)
     assert report.on_time(300.0) > 0.98
     assert report.interruptions < 350
@@ -52,18 +53,19 @@
     stream=700.0,
     length=10_400.0,
 )
-LATE_BY_OLD_HINTS = 1 / 30
-"""Aim: of thirty streams at most one is late because the entries do not see each other's."""
+MAX_LATE_BY_OLD_HINTS = 1 / 30
+"""Target: at most one of thirty streams is late because entries learn of each other's streams only
+by hints."""
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_entries_that_hear_of_each_other_serve_a_crowded_fleet_nearly_like_one(seed: int) -> None:
-    """Bursts fill nearly all slots of 27 engines; 24 entries meet at the same ones, and a stream
-    waits there for the end of another while slots are free elsewhere. With hints 100 ms apart 5.1%
-    and 3.9% of the streams were late for that, with 50 ms 2.8% and 1.7%."""
+def test_entries_with_hints_serve_a_crowded_fleet_nearly_like_one_entry(seed: int) -> None:
+    """Bursts fill nearly all slots of 27 engines. Several of the 24 entries choose the same engine,
+    and a stream waits there while slots are free elsewhere. With hints every 100 ms this made 5.1%
+    and 3.9% of the streams late, with hints every 50 ms 2.8% and 1.7%."""
     several = play_fleet(CROWDED, seed).on_time(CROWDED.target)
     one = play_fleet(replace(CROWDED, entries=1), seed).on_time(CROWDED.target)
-    assert one - several < LATE_BY_OLD_HINTS
+    assert one - several < MAX_LATE_BY_OLD_HINTS
 
 
 HALLS = FleetPlan(
@@ -76,18 +78,19 @@
     stream=700.0,
     length=10_400.0,
 )
-LATE_AMONG_MANY = 1 / 50
-"""Aim for fleets of more than a hundred hosts: of fifty streams at most one is late because the
-entries do not see each other's."""
+MAX_LATE_AMONG_MANY = 1 / 50
+"""Target for fleets of more than a hundred hosts: at most one of fifty streams is late because
+entries learn of each other's streams only by hints."""
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_dozens_of_entries_place_streams_nearly_like_one(seed: int) -> None:
-    """Bursts want a little more than all slots of 30 engines, and 58 entries share them. Loads told
-    on a tick left streams queued behind placements that nobody had heard of yet."""
+def test_dozens_of_entries_place_streams_nearly_like_one_entry(seed: int) -> None:
+    """Bursts need slightly more than all slots of 30 engines, which 58 entries share. Guards
+    against sending loads at fixed intervals: streams queued behind placements that no peer knew of
+    yet."""
     several = play_fleet(HALLS, seed)
     one = play_fleet(replace(HALLS, entries=1), seed)
-    assert one.on_time(HALLS.target) - several.on_time(HALLS.target) < LATE_AMONG_MANY
+    assert one.on_time(HALLS.target) - several.on_time(HALLS.target) < MAX_LATE_AMONG_MANY
     assert len(several.items) == several.submitted
     assert several.hints < 30 * HALLS.entries * HALLS.length / 1_000.0
 
@@ -105,12 +108,13 @@
 )
 
 
-def test_groups_with_a_part_of_the_engines_each_serve_nearly_like_one() -> None:
-    """Two groups of 16 entries hear of each other's loads twice a second only. What finds no place
-    in its part goes to the other one; no group may be late while the other has room."""
+def test_groups_with_separate_engines_serve_nearly_like_one_group() -> None:
+    """Two groups of 16 entries learn of each other's loads only twice a second. A stream that finds
+    no slot in its own group goes to the other one, and no group may be late while the other has
+    room."""
     grouped = play_fleet(GROUPED)
     one = play_fleet(replace(GROUPED, groups=1))
-    assert one.on_time(GROUPED.target) - grouped.on_time(GROUPED.target) < LATE_AMONG_MANY
+    assert one.on_time(GROUPED.target) - grouped.on_time(GROUPED.target) < MAX_LATE_AMONG_MANY
     assert grouped.refused == 0
     assert len(grouped.items) == grouped.submitted
     assert max(grouped.items) < GROUPED.due
@@ -131,12 +135,13 @@
 
 
 @pytest.mark.parametrize(("plan", "on_time"), [(SMALL, 0.76), (SHRUNKEN, 0.74)])
-def test_a_rush_of_jobs_ends_mostly_in_time_although_not_all_can(
+def test_most_of_a_rush_of_jobs_ends_in_time_although_not_all_can(
     plan: FleetPlan, on_time: float
 ) -> None:
-    """Many jobs come at once, on a small fleet and on one that has lost a fifth of its engines.
-    Strictly by when they were due, each item waited a little too long: 62% were in time on both.
-    What is late waits for what is not, and all of it ends long before it may be given up."""
+    """Many jobs arrive at once, on a small fleet and on one that has lost a fifth of its engines.
+    Guards against running items strictly in the order of their due times: each waited a little too
+    long, and 62% were in time on both fleets. Late items wait for those that can still be in time,
+    and all end long before they may be given up."""
     reports = [play_fleet(plan, seed) for seed in (1, 2, 3)]
     items = [each for report in reports for each in report.items]
     submitted = sum(report.submitted for report in reports)
@@ -157,10 +162,11 @@
 )
 
 
-def test_items_use_what_bursts_leave_when_there_is_more_work_than_room() -> None:
-    """Streams and items together want 48 of 48 slots. A scheduler that knows everything beforehand
-    has 97% of the items in time. Two slots of each engine left free for streams all the time made
-    12% of them late; items that are delayed take these slots, and streams are as soon as before."""
+def test_items_use_the_slots_that_bursts_leave_near_full_load() -> None:
+    """Streams and items together need 48 of 48 slots. A scheduler with full knowledge of the future
+    has 97% of the items in time. Guards against always keeping two slots of each engine free for
+    streams, which made 12% of the items late. Delayed items may use these slots, without delay for
+    the streams."""
     reports = [play_fleet(FULL, seed) for seed in (1, 2, 3, 4)]
     items = [each for report in reports for each in report.items]
     submitted = sum(report.submitted for report in reports)
@@ -170,10 +176,9 @@
 
 
 @pytest.mark.parametrize("plan", [replace(FULL, jobs_rate=0.5), FULL, SMALL])
-def test_entries_have_nine_tenths_of_the_items_in_time_that_can_be(plan: FleetPlan) -> None:
-    """A scheduler that knows everything and acts at once is the measure: near full load, and when a
-    rush of jobs meets five engines. What is lost to hints, reserves and cuts stays under a tenth.
-    """
+def test_entries_reach_nine_tenths_of_the_ideal_share_of_items_in_time(plan: FleetPlan) -> None:
+    """The reference is a scheduler with full knowledge and no delay, near full load and when a rush
+    of jobs meets five engines. Old hints, reserved slots and preemptions cost less than a tenth."""
     seeds = (1, 2, 3, 4)
     possible = sum(share_in_time(plan, seed) for seed in seeds) / len(seeds)
     reports = [play_fleet(plan, seed) for seed in seeds]
@@ -196,10 +201,10 @@
 )
 
 
-def test_lasting_overload_has_as_many_items_in_time_as_there_is_room_for() -> None:
-    """Twice as much batch work comes as the engines can do, for longer than an item may wait. Items
-    that were about to be given up went before all others, so that 15% were on time and the rest
-    late; now the room goes to those that can be on time."""
+def test_under_lasting_overload_the_items_that_fit_are_in_time() -> None:
+    """Twice as much batch work arrives as the engines can do, for longer than an item may wait.
+    Guards against running those items first that are about to be given up: 15% were on time and the
+    rest late. The slots go to items that can still be on time."""
     report = play_fleet(OVERLOADED)
     in_time = sum(each <= OVERLOADED.due for each in report.items) / report.submitted
     assert most_in_time(OVERLOADED) < 0.65
@@ -207,12 +212,12 @@
     assert report.on_time(OVERLOADED.target) > 0.98
 
 
-def test_entries_tell_each_other_of_an_engine_that_fails_half_of_its_requests() -> None:
-    """Three of twenty engines fail half of their requests at once, which makes them look idle. Each
-    entry alone meets a failure there every other second and goes back after one; told of what the
-    others saw, they avoid the three together."""
-    alone = play_fleet(replace(LARGE, grey=3, tell_failures=False))
-    told = play_fleet(replace(LARGE, grey=3))
-    assert alone.failed > 100
-    assert told.failed < 0.6 * alone.failed
-    assert told.on_time(300.0) > 0.9
+def test_entries_share_the_failures_of_engines_that_fail_half_of_their_requests() -> None:
+    """Three of twenty engines fail half of their requests at once, which makes them look idle. A
+    single entry sees a failure there every other second and tries again after one second. With the
+    failures that their peers report, the entries avoid the three engines together."""
+    unshared = play_fleet(replace(LARGE, failing_engines=3, report_failures=False))
+    shared = play_fleet(replace(LARGE, failing_engines=3))
+    assert unshared.failed > 100
+    assert shared.failed < 0.6 * unshared.failed
+    assert shared.on_time(300.0) > 0.9
--- a/tests/fleet_load.py
+++ b/tests/fleet_load.py
@@ -1,8 +1,8 @@
-"""A fleet under load, played in simulated time with the load tables of real entries.
+"""Simulate a fleet under load, with the load tables of real entries.
 
-Engines admit in order of arrival and hold a place until a run ends. Entries see their own requests
-at once and those of the others by hints. Nothing here decides: placing, giving way and the rooms
-for batch items are those of `LoadTable`.
+Engines admit runs in order of arrival, and a run holds a slot until it ends. Entries see their own
+requests at once and those of other entries through hints. The simulation takes no decisions of its
+own: placement, preemption and the slots for batch items are those of `LoadTable`.
 """
 
 from __future__ import annotations
@@ -29,42 +29,42 @@
 from carobspool_node.direct._loads import BatchRun, LoadTable, Placement
 
 ANNOUNCEMENT_INTERVAL = 500.0
-HINT_TRAVEL = 3.0
+HINT_DELAY = 3.0
 CANCEL_TIME = 10.0
-"""From a cancellation to the free place: a round trip and an engine step."""
+"""Time from a cancellation to the free slot: a round trip and an engine step."""
 RESUME_TIME = 60.0
-"""What a resumed item costs again: reading its prompt and the text so far."""
-FIRST_EVENT = 45.0
-"""From the start of a run to its first event."""
+"""Extra time of a resumed item, to process its prompt and the text so far again."""
+FIRST_EVENT_DELAY = 45.0
+"""Time from the start of a run to its first event."""
 DRAIN_TIME = 60_000.0
-"""How long items may still run after the last arrival."""
+"""Time for which items may still run after the last arrival."""
 EVENT_INTERVAL = 100.0
-"""Between two looks at which runs have sent events; entries take an upstream that says nothing for
-600 ms for one that has stopped."""
+"""Time between two rounds of events from running requests. Entries regard an upstream that sends
+nothing for 600 ms as hung."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class FleetPlan:
-    """What is played.
+    """Size, load and duration of a simulated fleet.
 
     Attributes:
         entries: Number of entries.
         engines: Number of engines.
-        slots: Runs at once at each.
+        slots: Concurrent runs at each engine.
         calm_rate: Online requests a second between bursts.
-        burst_rate: The same in bursts.
+        burst_rate: Online requests a second in bursts.
         stream: Mean duration of a stream in milliseconds.
         jobs_rate: Batch jobs of ten items a second.
         item: Duration of an item in milliseconds.
         due: Time from the submission of a job to when it is due, in milliseconds.
         retention: Time from the submission after which an item may be given up, in milliseconds.
-        grey: Engines that fail part of their online requests at once.
-        grey_share: Which part.
-        tell_failures: Whether the entries tell each other of failures.
-        jobs_at_once: Jobs that come together after a fifth of the time.
-        length: Time played in milliseconds.
+        failing_engines: Engines that fail a share of their online requests at once.
+        failing_share: Share of their online requests that these engines fail.
+        report_failures: Whether hints report failures.
+        jobs_at_once: Jobs that arrive together after a fifth of the simulated time.
+        length: Simulated time in milliseconds.
         target: Time to the first event within which a stream is on time.
-        groups: Groups of entries, each with its part of the engines.
+        groups: Groups of entries, each with its own share of the engines.
     """
 
     entries: int
@@ -77,9 +77,9 @@
     item: float = 4_900.0
     due: float = 18_000.0
     retention: float = 60_000.0
-    grey: int = 0
-    grey_share: float = 0.5
-    tell_failures: bool = True
+    failing_engines: int = 0
+    failing_share: float = 0.5
+    report_failures: bool = True
     jobs_at_once: int = 0
     length: float = 34_000.0
     target: float = 300.0
@@ -88,16 +88,16 @@
 
 @dataclass(slots=True)
 class FleetReport:
-    """What callers got.
+    """Results of a simulation.
 
     Attributes:
         first_events: Time to the first event of each online request, in milliseconds.
-        refused: Online requests without a place.
-        failed: Online requests that met a failing engine.
+        refused: Online requests that found no slot.
+        failed: Online requests that a failing engine failed.
         items: Times from a job's submission to the end of each of its items, in milliseconds.
-        interruptions: Batch runs that gave way.
+        interruptions: Batch runs that were preempted.
         submitted: Items submitted.
-        hints: Hints that the entries sent, each to all others.
+        hints: Hints that the entries sent; a hint to several entries counts once.
     """
 
     first_events: list[float] = field(default_factory=list)
@@ -109,7 +109,7 @@
     hints: int = 0
 
     def on_time(self, target: float) -> float:
-        """Return the share of the online requests whose first event came in time."""
+        """Return the share of the online requests whose first event came within ``target``."""
         served = sum(each <= target for each in self.first_events)
         return served / (len(self.first_events) + self.refused)
 
@@ -130,7 +130,7 @@
 
 @dataclass(slots=True, eq=False)
 class _Run:
-    """A run at an engine; ``end`` is called when it leaves."""
+    """A run at an engine, of an online request or of a batch item."""
 
     entry: int
     engine: str
@@ -176,8 +176,8 @@
         self.running: list[list[_Run]] = [[] for _ in self.tables]
         self.backlogs = [Backlog() for _ in self.tables]
         self.paces = [LoadPace() for _ in self.tables]
-        self.told: list[dict[str, Load]] = [{} for _ in self.tables]
-        self.telling = [False for _ in self.tables]
+        self.sent_loads: list[dict[str, Load]] = [{} for _ in self.tables]
+        self.send_scheduled = [False for _ in self.tables]
         self.engines: dict[str, list[_Run]] = {each.instance: [] for each in self.upstreams}
         self.queue: dict[str, deque[_Run]] = {each.instance: deque() for each in self.upstreams}
         self.events: list[tuple[float, int, Callable[[], None]]] = []
@@ -229,14 +229,14 @@
             self.report.refused += 1
             return
         number = self.upstreams.index(placement.upstream)
-        if number < self.plan.grey and self.draw.random() < self.plan.grey_share:
+        if number < self.plan.failing_engines and self.draw.random() < self.plan.failing_share:
             self.report.failed += 1
             self.tables[entry].suspect(placement.upstream)
             self.tables[entry].end_online(placement, completed=False)
             return
         duration = self.plan.stream * self.draw.uniform(0.6, 1.4)
         self.begin(_Run(entry, placement.upstream.instance, duration, placement=placement))
-        self.drop_cancelled()
+        self.interrupt_cancelled()
 
     def submit(self) -> None:
         entry = self.draw.randrange(self.plan.entries)
@@ -249,7 +249,7 @@
     def start_items(self, entry: int) -> None:
         while self.waiting[entry]:
             item = min(self.waiting[entry], key=self.turn)
-            if not self.goes_first(entry, item):
+            if not self.may_start(entry, item):
                 return
             placed = self.tables[entry].place_batch(
                 self.near[entry], urgency=self.urgency(item), due=item.submitted
@@ -259,7 +259,7 @@
             self.waiting[entry].remove(item)
             self.begin(_Run(entry, placed[0].instance, item.left, batch=placed[1], item=item))
 
-    def goes_first(self, entry: int, item: _Item) -> bool:
+    def may_start(self, entry: int, item: _Item) -> bool:
         urgency = self.urgency(item)
         room = self.tables[entry].room_for_batch(self.near[entry], urgency=urgency)
         return self.backlogs[entry].may_start(self.turn(item), room=room, now=self.clock.at)
@@ -297,11 +297,11 @@
             self.engines[engine].append(run)
             if run.item is None:
                 waited = run.started - run.arrived
-                self.report.first_events.append(waited + FIRST_EVENT)
+                self.report.first_events.append(waited + FIRST_EVENT_DELAY)
             self.at(self.clock.at + run.duration, lambda run=run: self.finish(run))
 
     def send_events(self) -> None:
-        """Let the entries hear from each engine that has something of theirs in a slot."""
+        """Record activity of each engine at the entries whose requests it is running."""
         for entry, runs in enumerate(self.running):
             for run in runs:
                 if run.started is not None:
@@ -332,7 +332,7 @@
         self.admit(run.engine)
         self.start_items(run.entry)
 
-    def drop_cancelled(self) -> None:
+    def interrupt_cancelled(self) -> None:
         for runs in self.running:
             for run in runs:
                 if run.batch is not None and run.batch.cancellation.cancelled and not run.gone:
@@ -353,19 +353,19 @@
         self.at(self.clock.at + ANNOUNCEMENT_INTERVAL, lambda: self.announce(entry))
 
     def loads_changed(self, entry: int) -> None:
-        if not self.telling[entry]:
-            self.telling[entry] = True
-            self.at(self.clock.at, lambda: self.tell_loads(entry))
+        if not self.send_scheduled[entry]:
+            self.send_scheduled[entry] = True
+            self.at(self.clock.at, lambda: self.send_loads(entry))
 
-    def tell_loads(self, entry: int) -> None:
-        self.telling[entry] = False
-        if self.tables[entry].own_loads() == self.told[entry]:
+    def send_loads(self, entry: int) -> None:
+        self.send_scheduled[entry] = False
+        if self.tables[entry].own_loads() == self.sent_loads[entry]:
             return
         peers = len(self.groups[entry][1]) - 1
         wait = self.paces[entry].wait(self.clock.at, peers=peers)
         if wait > 0.0:
-            self.telling[entry] = True
-            self.at(self.clock.at + wait, lambda: self.tell_loads(entry))
+            self.send_scheduled[entry] = True
+            self.at(self.clock.at + wait, lambda: self.send_loads(entry))
             return
         self.paces[entry].sent(self.clock.at, peers=peers)
         self.hint(entry)
@@ -373,9 +373,9 @@
     def hint(self, entry: int, *, to_all: bool = False) -> None:
         group = self.groups[entry][1]
         loads = self.tables[entry].own_loads()
-        self.told[entry] = loads
+        self.sent_loads[entry] = loads
         self.report.hints += 1
-        failures = self.tables[entry].own_failures() if self.plan.tell_failures else {}
+        failures = self.tables[entry].own_failures() if self.plan.report_failures else {}
         backlog = self.backlog(entry)
 
         def arrive() -> None:
@@ -383,13 +383,13 @@
                 if other != entry and (to_all or f"entry-{other}" in group):
                     self.backlogs[other].take(f"entry-{entry}", backlog, self.clock.at)
                     table.take_hint(f"entry-{entry}", loads, self.upstreams, failures)
-            self.drop_cancelled()
+            self.interrupt_cancelled()
             for other in range(self.plan.entries):
                 self.start_items(other)
 
-        self.at(self.clock.at + HINT_TRAVEL, arrive)
+        self.at(self.clock.at + HINT_DELAY, arrive)
 
 
 def play_fleet(plan: FleetPlan, seed: int = 1) -> FleetReport:
-    """Play a plan; the same seed plays the same arrivals."""
+    """Simulate a plan; the same seed gives the same arrivals."""
     return _Fleet(plan, seed).play()
