--- a/tests/direct/test_membership.py
+++ b/tests/direct/test_membership.py
@@ -1,4 +1,4 @@
-"""Configuration, servers and entries that come, go, or go unheard."""
+"""Changes of the configuration, of servers and of entries, also while watches miss them."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @pytest.fixture
 def system(tmp_path: Path) -> Iterator[Deployment]:
-    """Stand-ins without entries."""
+    """A deployment of stand-ins without entries."""
     with deployment(tmp_path) as running:
         yield running
 
@@ -35,27 +35,27 @@
     connection.answer(request)
 
 
-def test_a_change_is_found_although_every_watch_is_deaf(system: Deployment) -> None:
-    """The store's watches stay open and hear nothing while a route is added and a server leaves.
-    Callers must be served by what is declared now, within a few seconds."""
-    gone = system.server("plain", _answer)
+def test_changes_take_effect_although_every_watch_misses_them(system: Deployment) -> None:
+    """The store's watches stay open without reporting that a route is added and a server leaves.
+    Callers must be served by the current declarations within a few seconds."""
+    removed = system.server("plain", _answer)
     system.server("plain", _answer)
     entries = [system.entry("e1"), system.entry("e2")]
     system.objects.faults.deaf = True
     system.configure(2, *STANDARD_ROUTES, route("/new/", "safe", "plain"))
-    system.objects.remove("servers", gone.instance)
+    system.objects.remove("servers", removed.instance)
     system.objects.compact()
     for entry in entries:
         eventually(lambda e=entry: e.call("GET", "/new/x").status == 200, 4.5)
     time.sleep(1.0)
-    before = len(gone.seen)
+    before = len(removed.seen)
     for entry in entries:
         for _ in range(6):
             assert entry.call("GET", "/safe/x").status == 200
-    assert len(gone.seen) == before
+    assert len(removed.seen) == before
 
 
-def test_a_configuration_never_goes_back(system: Deployment) -> None:
+def test_an_older_configuration_is_not_applied(system: Deployment) -> None:
     system.server("plain", _answer)
     entry = system.entry("e1")
     system.configure(5, route("/new/", "safe", "plain"))
@@ -66,9 +66,9 @@
     assert entry.call("GET", "/safe/x").status == 404
 
 
-def test_an_entry_that_the_store_turns_away_works_through_another(system: Deployment) -> None:
-    """The store refuses one entry and serves the other. A change of the configuration reaches the
-    refused one too; it accepts a job, runs it and commits its results."""
+def test_an_entry_that_the_store_refuses_works_through_a_peer(system: Deployment) -> None:
+    """The store refuses one entry and serves the other. The refused entry still applies a change of
+    the configuration, accepts a job, runs it and commits its results."""
     system.server("plain", _answer)
     system.server("engine", stream_events(4))
     address, faults = system.second_address()
@@ -83,9 +83,9 @@
         assert [result["state"] for result in results] == ["completed"]
 
 
-def test_without_a_configuration_nothing_is_denied_for_good(system: Deployment) -> None:
-    """The store is away when the entry starts. It is not ready, and tells callers to come back
-    instead of that their route does not exist."""
+def test_without_a_configuration_callers_are_told_to_retry(system: Deployment) -> None:
+    """The store is unavailable when the entry starts. The entry is not ready, and tells callers to
+    retry instead of that their route does not exist."""
     system.objects.faults.status = 503
     entry = system.entry("e1", wait=False)
     answer = eventually(lambda: _try(entry.call, "GET", "/safe/x"), 8)
@@ -95,21 +95,23 @@
     eventually(entry.is_ready, 3)
 
 
-def test_a_leaving_server_gets_nothing_new(system: Deployment) -> None:
-    leaving, staying = system.server("plain", _answer), system.server("plain", _answer)
+def test_a_draining_server_gets_no_new_requests(system: Deployment) -> None:
+    draining, staying = system.server("plain", _answer), system.server("plain", _answer)
     entry = system.entry("e1")
-    system.objects.put("servers", leaving.instance, leaving.registration("plain", state="draining"))
+    system.objects.put(
+        "servers", draining.instance, draining.registration("plain", state="draining")
+    )
     time.sleep(0.6)
-    before = len(leaving.seen)
+    before = len(draining.seen)
     for _ in range(10):
         assert entry.call("GET", "/safe/x").status == 200
-    assert len(leaving.seen) == before
+    assert len(draining.seen) == before
     assert len(staying.seen) >= 10
 
 
 def test_a_leaving_entry_finishes_its_streams_and_is_not_ready(system: Deployment) -> None:
-    """SIGTERM in the middle of a stream. The stream ends whole, a new request on an open
-    connection is still served, and the process exits in its time with code 0."""
+    """SIGTERM arrives during a stream. The stream ends complete, a new request on an open
+    connection is still served, and the process exits in time with code 0."""
     system.server("engine", stream_events(10, pause_s=0.15))
     entry = system.entry("e1")
     found: list[Answer] = []
@@ -120,18 +122,18 @@
     time.sleep(0.4)
     entry.signal(signal.SIGTERM)
     eventually(lambda: not entry.is_ready(), 1)
-    late = entry.call("POST", "/stream/y", body=b"b")
-    assert (late.status, late.complete) == (200, True)
-    assert late.headers["connection"] == "close"
+    second = entry.call("POST", "/stream/y", body=b"b")
+    assert (second.status, second.complete) == (200, True)
+    assert second.headers["connection"] == "close"
     caller.join()
     assert found[0].complete
     assert entry.process.wait(timeout=6) == 0
 
 
-def test_a_leaving_entry_refuses_what_it_could_not_finish(system: Deployment) -> None:
-    """Callers keep coming until the process is gone, since the balancer has nobody else for them.
-    Each gets a whole stream, or is told at once that its request did not run; the last ones used
-    to be cut in the middle when the process exited."""
+def test_a_leaving_entry_refuses_requests_that_it_could_not_finish(system: Deployment) -> None:
+    """Callers keep calling until the process has exited, since the balancer has no other entry.
+    Each gets a complete stream, or is told at once that its request did not run. Guards against
+    cutting off the last streams when the process exits."""
     system.server("engine", stream_events(10, pause_s=0.1))
     entry = system.entry("e1")
     for _ in range(3):
@@ -166,10 +168,10 @@
     assert all(float(each.headers["retry-after"]) < 0.1 for each in refused)
 
 
-def test_idle_connections_do_not_hold_a_leaving_entry(system: Deployment) -> None:
-    """A caller keeps a connection open without a request. The entry must still exit in its time
-    and serve who connects until then; waiting for the idle connection, it was killed instead and
-    left connections that it had accepted unanswered."""
+def test_idle_connections_do_not_delay_a_leaving_entry(system: Deployment) -> None:
+    """A caller keeps a connection open without a request. The entry must still exit in time and
+    serve new connections until then. Guards against waiting for the idle connection: the entry was
+    killed, and left connections that it had accepted unanswered."""
     system.server("plain", _answer)
     entry = system.entry("e1")
     with socket.create_connection(("127.0.0.1", entry.port)):
@@ -180,23 +182,25 @@
         assert entry.process.wait(timeout=3.5) == 0
 
 
-@pytest.mark.parametrize("asked_first", [True, False])
-def test_a_host_with_a_disk_is_let_go_when_asked(system: Deployment, asked_first: bool) -> None:
-    """The operator asks to empty a host. Nothing lies on it, so the answer comes at once, whether
-    the request was there before the keeper or came later."""
-    if asked_first:
+@pytest.mark.parametrize("request_first", [True, False])
+def test_a_host_with_a_disk_is_released_on_request(system: Deployment, request_first: bool) -> None:
+    """The operator asks to empty a host. The host holds no data, so the request completes at once,
+    whether it is written before the keeper starts or later."""
+    if request_first:
         system.objects.put("retirements", "m1", {"duration_s": 8})
     system.keeper("k1")
-    if not asked_first:
+    if not request_first:
         time.sleep(1.0)
         system.objects.put("retirements", "m1", {"duration_s": 8})
     stored = system.objects.objects
     eventually(lambda: stored[("retirements", "m1")]["status"] == {"state": "completed"}, 5)
 
 
-def test_a_host_is_let_go_although_the_keepers_watch_is_deaf(system: Deployment) -> None:
-    """The keeper's watch hears nothing when the request is written, and stays open. The host must
-    still be let go well before its time; it used to wait for the end of the watch, 30 s."""
+def test_a_host_is_released_although_the_keepers_watch_misses_the_request(
+    system: Deployment,
+) -> None:
+    """The keeper's watch stays open without reporting the request. The host must still be released
+    well before its deadline. Guards against waiting for the end of the watch, 30 s."""
     system.keeper("k1")
     time.sleep(1.0)
     system.objects.faults.deaf = True
--- a/tests/direct/test_shared_watch.py
+++ b/tests/direct/test_shared_watch.py
@@ -1,4 +1,4 @@
-"""A few entries follow the store for all: what the others know, how soon, and what it costs."""
+"""A few entries follow the store for all: propagation of changes, its delay, and store calls."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 ENTRIES = 9
 WATCHERS = _watch_duty.WATCHERS
-KNOWN_S = 1.0
-"""Within which every entry knows of a change while all of them live."""
-LEFT_S = 2.0
-"""Within which a leaving server gets nothing new; a rule of the users."""
+PROPAGATION_LIMIT_S = 1.0
+"""Time within which every entry applies a change while all entries live."""
+DRAIN_LIMIT_S = 2.0
+"""Time after which a draining server must get no new requests, as users require."""
 
 
 def _answer(request: ServedRequest, connection: ServerConnection) -> None:
@@ -28,7 +28,7 @@
 
 @pytest.fixture
 def system(tmp_path: Path) -> Iterator[Deployment]:
-    """Nine entries that have heard of each other."""
+    """A deployment of nine entries that have heard each other."""
     with deployment(tmp_path) as running:
         running.server("plain", _answer)
         for number in range(ENTRIES):
@@ -48,51 +48,52 @@
     return entry.call("GET", f"{prefix}x").status == 200
 
 
-def test_all_entries_know_a_change_that_a_few_have_watched(system: Deployment) -> None:
-    """Routes and servers change time and again. With a watch of each entry every change cost a call
-    of all of them; now it costs one of those that follow the store, and is known as soon."""
+def test_all_entries_apply_a_change_that_a_few_have_watched(system: Deployment) -> None:
+    """Routes and servers change repeatedly. If every entry watched the store, each change would
+    cost a call of each entry. It costs a call only of those that follow the store, and all entries
+    apply it as soon."""
     before = system.objects.calls.get("watch", 0)
     for version in range(2, 8):
         prefix = f"/new-{version}/"
         system.configure(version, *STANDARD_ROUTES, route(prefix, "safe", "plain"))
         system.server("plain", _answer)
-        until = time.monotonic() + KNOWN_S
+        until = time.monotonic() + PROPAGATION_LIMIT_S
         for entry in system.entries:
-            eventually(lambda e=entry, p=prefix: _serves_new_route(e, p), KNOWN_S)
+            eventually(lambda e=entry, p=prefix: _serves_new_route(e, p), PROPAGATION_LIMIT_S)
         assert time.monotonic() < until
     assert system.objects.calls["watch"] - before <= 6 * 2 * WATCHERS + WATCHERS
     assert any(each.logged("event=view_taken") for each in system.entries)
 
 
-def test_a_leaving_server_gets_nothing_new_while_most_watchers_are_frozen(
+def test_a_draining_server_gets_no_new_requests_while_most_watchers_are_frozen(
     system: Deployment,
 ) -> None:
-    """Three of the five that follow the store stand still. The other two must be enough."""
-    leaving = system.server("plain", _answer)
-    time.sleep(KNOWN_S)
+    """Three of the five entries that follow the store are stopped. The other two must suffice."""
+    draining = system.server("plain", _answer)
+    time.sleep(PROPAGATION_LIMIT_S)
     frozen = _watchers(system)[:3]
     for entry in frozen:
         entry.signal(signal.SIGSTOP)
     try:
         system.objects.put(
-            "servers", leaving.instance, leaving.registration("plain", state="draining")
+            "servers", draining.instance, draining.registration("plain", state="draining")
         )
-        time.sleep(LEFT_S)
-        before = len(leaving.seen)
+        time.sleep(DRAIN_LIMIT_S)
+        before = len(draining.seen)
         for entry in system.entries:
             if entry in frozen:
                 continue
             for _ in range(4):
                 assert entry.call("GET", "/safe/x").status == 200
-        assert len(leaving.seen) == before
+        assert len(draining.seen) == before
     finally:
         for entry in frozen:
             entry.signal(signal.SIGCONT)
 
 
 def test_others_follow_the_store_when_all_watchers_are_gone(system: Deployment) -> None:
-    """All five are killed at once, and a configuration comes in the same moment. The next ones take
-    the duty over as soon as the five are known to be dead."""
+    """All five are killed at once, and a configuration is written at the same moment. Other entries
+    take over the duty as soon as the five are known to be dead."""
     killed = _watchers(system)
     for entry in killed:
         entry.signal(signal.SIGKILL)
@@ -102,8 +103,8 @@
             eventually(lambda e=entry: _serves_new_route(e, "/new/"), 4.0)
 
 
-def test_an_entry_that_starts_later_is_heard_by_all_and_hears_all(system: Deployment) -> None:
-    """Those that do not watch the list of entries learn of a new one by its announcement."""
+def test_a_new_entry_and_all_others_hear_each_other(system: Deployment) -> None:
+    """Entries that do not watch the list of entries learn of a new entry from its announcement."""
     late = system.entry("late")
     for entry in system.entries[:-1]:
         eventually(lambda e=entry: e.logged("event=peer_seen peer=late#"), 3.0)
