--- a/packages/node/src/carobspool_node/direct/_peer.py
+++ b/packages/node/src/carobspool_node/direct/_peer.py
@@ -26,7 +26,7 @@
         store_ok: Whether the store answered the peer's last call.
         answer_age: Time from the store's last answer to the peer's last announcement.
         sequence: Sequence number of the newest hint.
-        is_current: Whether the peer reads load hints.
+        reads_load_hints: Whether the peer reads load hints.
         reads_counts: Whether the peer reads hints that carry request counts.
     """
 
@@ -42,7 +42,7 @@
     store_ok: bool = True
     answer_age: Millis = 0.0
     sequence: int = -1
-    is_current: bool = False
+    reads_load_hints: bool = False
     reads_counts: bool = False
 
     @property
--- a/packages/node/src/carobspool_node/direct/_peer_table.py
+++ b/packages/node/src/carobspool_node/direct/_peer_table.py
@@ -110,7 +110,7 @@
             current = {}
             counting = set()
             for peer in self._peers.values():
-                if peer.is_current and now - peer.heard < DEAD_AFTER:
+                if peer.reads_load_hints and now - peer.heard < DEAD_AFTER:
                     current[peer.name] = peer.address
                     if peer.reads_counts:
                         counting.add(peer.name)
@@ -163,48 +163,48 @@
         now = self._clock.now()
         lost: Peer | None = None
         with self._lock:
-            known = self._peers.get(announcement.name)
+            peer = self._peers.get(announcement.name)
             silence = None
-            if known is not None and known.incarnation == announcement.incarnation:
-                silence = now - known.heard
+            if peer is not None and peer.incarnation == announcement.incarnation:
+                silence = now - peer.heard
             self._liveness.heard(silence, now)
-            if known is None or known.incarnation != announcement.incarnation:
-                if known is not None and known.open_jobs:
-                    lost = known
-                known = Peer(
+            if peer is None or peer.incarnation != announcement.incarnation:
+                if peer is not None and peer.open_jobs:
+                    lost = peer
+                peer = Peer(
                     name=announcement.name,
                     incarnation=announcement.incarnation,
                     address=announcement.address,
                     heard=now,
                 )
-                self._peers[announcement.name] = known
+                self._peers[announcement.name] = peer
                 self._new_peers.add(announcement.name)
-                logging.info("event=peer_seen peer=%s", shown(known.identity, 2 * MAX_NAME_CHARS))
-            known.heard = now
-            known.address = announcement.address
+                logging.info("event=peer_seen peer=%s", shown(peer.identity, 2 * MAX_NAME_CHARS))
+            peer.heard = now
+            peer.address = announcement.address
             if announcement.name not in self._addresses:
                 self._addresses[announcement.name] = announcement.address
                 self._names_digest = None
-            known.leaving = announcement.leaving
-            known.store_ok = announcement.store_ok
-            known.answer_age = float(announcement.answer_age)
-            known.versions = announcement.versions
-            known.is_current = announcement.sequence is not None
-            known.reads_counts = announcement.packed_counts is not None
+            peer.leaving = announcement.leaving
+            peer.store_ok = announcement.store_ok
+            peer.answer_age = float(announcement.answer_age)
+            peer.versions = announcement.versions
+            peer.reads_load_hints = announcement.sequence is not None
+            peer.reads_counts = announcement.packed_counts is not None
             if announcement.open_jobs is not None:
-                known.open_jobs = frozenset(announcement.open_jobs)
-                known.done_jobs = frozenset(announcement.done_jobs)
-            if announcement.open_jobs is not None or known.is_current:
-                known.waiting = announcement.waiting
+                peer.open_jobs = frozenset(announcement.open_jobs)
+                peer.done_jobs = frozenset(announcement.done_jobs)
+            if announcement.open_jobs is not None or peer.reads_load_hints:
+                peer.waiting = announcement.waiting
             if self._name in announcement.silent:
                 self._liveness.reported_silent(now)
-            if announcement.released is None and known.leaving and known.open_jobs:
+            if announcement.released is None and peer.leaving and peer.open_jobs:
                 # An entry of the previous version releases all its jobs as soon as it leaves.
-                lost = known
-                self._peers[announcement.name] = _without_jobs(known)
+                lost = peer
+                self._peers[announcement.name] = _without_jobs(peer)
             elif announcement.released:
                 # The peer has committed its results of these jobs and has stopped work on them.
-                lost = replace(known, open_jobs=frozenset(announcement.released))
+                lost = replace(peer, open_jobs=frozenset(announcement.released))
         return lost
 
     def advance_sequence(self, name: str, incarnation: str, sequence: int) -> bool:
@@ -214,10 +214,10 @@
             Whether the hint is newer than all others of its process; false for unknown processes.
         """
         with self._lock:
-            known = self._peers.get(name)
-            if known is None or known.incarnation != incarnation or sequence <= known.sequence:
+            peer = self._peers.get(name)
+            if peer is None or peer.incarnation != incarnation or sequence <= peer.sequence:
                 return False
-            known.sequence = sequence
+            peer.sequence = sequence
             return True
 
     def record_hint(self, hint: LoadHint | CountsHint) -> bool:
@@ -230,9 +230,9 @@
             return False
         now = self._clock.now()
         with self._lock:
-            known = self._peers[hint.name]
-            self._liveness.heard(now - known.heard, now)
-            known.heard = now
+            peer = self._peers[hint.name]
+            self._liveness.heard(now - peer.heard, now)
+            peer.heard = now
         return True
 
     def check_silence(self) -> SilentPeers:
