--- a/packages/node/src/carobspool_node/direct/_bad_records.py
+++ b/packages/node/src/carobspool_node/direct/_bad_records.py
@@ -59,9 +59,9 @@
             self._reported[key] = digest
             if len(self._reported) > MAX_TRACKED_RECORDS:
                 del self._reported[next(iter(self._reported))]
-        self.tell(name, reason)
+        self.report(name, reason)
 
-    def tell(self, name: str, reason: object) -> None:
+    def report(self, name: str, reason: object) -> None:
         """Count and log a bad record without remembering it, such as a datagram."""
         self._telemetry.count("bad_records", kind=self._kind)
         unlogged = self._reserve_line()
--- a/packages/node/src/carobspool_node/direct/_hint_receiver.py
+++ b/packages/node/src/carobspool_node/direct/_hint_receiver.py
@@ -33,7 +33,7 @@
 """Time for which hints are collected before they are processed as a batch. Dozens of entries send
 hundreds of hints a second, and each wake-up of the process costs more than reading a hint."""
 MAX_BATCH_HINTS = 1_000
-"""Most hints in a batch: about as many as hundreds of entries send in a second."""
+"""Maximum number of hints in a batch, about as many as hundreds of entries send in a second."""
 
 LoadsCallback = Callable[[str, Mapping[str, Load], Mapping[str, int] | None, bool], None]
 """Takes a peer's name, its requests in flight, the failures that it has seen, ``None`` if the hint
@@ -144,7 +144,7 @@
         try:
             self.receive(decode_cbor(data))
         except UnusableRecordError as error:
-            self._bad_hints.tell(f"{sender[0]}:{sender[1]}", error)
+            self._bad_hints.report(f"{sender[0]}:{sender[1]}", error)
         except Exception:  # noqa: BLE001
             # An error in one hint must not stop the thread: an entry that receives no hints
             # declares all peers dead and runs their jobs again.
--- a/packages/node/src/carobspool_node/direct/_hint_sender.py
+++ b/packages/node/src/carobspool_node/direct/_hint_sender.py
@@ -21,9 +21,9 @@
 Address = tuple[str, int]
 
 COUNTS_INTERVAL_PER_ENTRY: Millis = 2.0
-"""Least time between two counts hints to the entries that share no upstream with this one, for each
-such entry. They need the counts only for request limits, which tolerate the delay, and heartbeats
-carry all counts."""
+"""Minimum time between two counts hints to the entries that share no upstream with this one, for
+each such entry. They need the counts only for request limits, which tolerate the delay, and
+heartbeats carry all counts."""
 
 
 class HintSender:
--- a/packages/node/src/carobspool_node/direct/_loads.py
+++ b/packages/node/src/carobspool_node/direct/_loads.py
@@ -127,7 +127,7 @@
         return Placement(upstream=chosen, started=now, load=load)
 
     def describe(self, upstreams: Sequence[Upstream]) -> str:
-        """Return the loads, mean duration and age of hints behind a refusal, for the log."""
+        """Return the loads, mean duration and age of hints that explain a refusal, for the log."""
         now = self._clock.now()
         with self._lock:
             loads = self._total_loads(now)
--- a/packages/node/src/carobspool_node/direct/_membership.py
+++ b/packages/node/src/carobspool_node/direct/_membership.py
@@ -28,7 +28,7 @@
 """Time for a new process to hear of the other entries: it announces itself to all entries in the
 list, and their next announcements arrive within 500 ms."""
 REREAD_INTERVAL: Millis = 10_000.0
-"""Least time between two readings of the list while entries disagree."""
+"""Minimum time between two readings of the list while entries disagree."""
 RETRY_PAUSE_S, RETRY_JITTER_S = 0.3, 0.3
 """Pause between two attempts to register, with jitter, since all entries retry after an outage."""
 NAMES_VERSION = "entries"
--- a/packages/node/src/carobspool_node/direct/_peer_api.py
+++ b/packages/node/src/carobspool_node/direct/_peer_api.py
@@ -45,7 +45,7 @@
         try:
             status, answer = self._serve(request)
         except UnusableRecordError as error:
-            self._bad_calls.tell(request.path, error)
+            self._bad_calls.report(request.path, error)
             status, answer = 400, None
         headers = [
             (PEER_HEADERS.request_id, request.request_id.encode()),
--- a/packages/node/src/carobspool_node/direct/_peers.py
+++ b/packages/node/src/carobspool_node/direct/_peers.py
@@ -45,7 +45,7 @@
 
 
 class OwnState(Struct, frozen=True, kw_only=True):
-    """Functions that return the state of this entry which hints carry.
+    """Functions that supply the content of this entry's hints.
 
     Attributes:
         loads: Returns the requests in flight, by the upstream's identity.
--- a/packages/node/src/carobspool_node/direct/_store_relay.py
+++ b/packages/node/src/carobspool_node/direct/_store_relay.py
@@ -203,7 +203,7 @@
         if isinstance(found, ObjectPage):
             self._bad_listings.note(prefix, reason)
         else:
-            self._bad_listings.tell(prefix, reason)
+            self._bad_listings.report(prefix, reason)
 
     def _relay(self, operation: str, key: str, extra: dict[str, Any]) -> StoreResult | None:
         peers = [each for each in self._peers().live() if each.store_ok and not each.leaving]
