--- a/packages/core/src/carobspool_core/direct/_failure_reports.py
+++ b/packages/core/src/carobspool_core/direct/_failure_reports.py
@@ -1,10 +1,10 @@
-"""Failures at upstreams as all entries saw them.
+"""Recent failures of upstreams, counted across all entries.
 
-Load pattern: an upstream fails part of its requests, fast, while its health is good. It looks idle
-just because it finishes few, so the choice by load sends it more than its share. Each entry alone
-sees one failure in some seconds there, of a fleet's eighteen entries; together they see several a
-second. So entries tell each other how many they have seen, and an upstream with two failures of
-late is used only when the others are full.
+Load pattern: an upstream fails part of its requests quickly while it reports good health. It looks
+idle because it completes few requests, so placement by load sends it more than its share. In a
+fleet of eighteen entries each entry sees one such failure every few seconds; all entries together
+see several a second. Entries therefore exchange their failure counts, and an upstream with two
+recent failures is used only if the other upstreams are full.
 """
 
 from __future__ import annotations
@@ -14,64 +14,73 @@
 
 from carobspool_core._clock import Millis
 
-FAILURES_TO_AVOID = 2
-"""One failure may be a lost answer, of which 2 or 3 in 100 occur on half of the upstreams at times;
-at five requests a second two in one window are rare then, and certain where half of them fail."""
-WINDOW: Millis = 2_000.0
-"""How long a failure counts. When it is over the upstream is tried again; one that still fails is
-avoided again after two more."""
-_KEPT = 16
+FAILURE_THRESHOLD = 2
+"""Failures within `FAILURE_WINDOW` from which an upstream is avoided. One failure may be a lost
+answer: at times half of the upstreams lose 2 or 3 in 100 answers. At five requests a second two
+lost answers in one window are then rare, and two failures are certain if half of the requests
+fail."""
+FAILURE_WINDOW: Millis = 2_000.0
+"""How long a failure counts. Afterwards the upstream is tried again; if it still fails, it is
+avoided again after two more failures."""
+_MAX_FAILURES_KEPT = 16
 
 
 class FailureReports:
-    """Failures by an upstream's identity, of this entry and of the others."""
+    """Failures that this entry and its peers observed, by identity of the upstream."""
 
-    __slots__ = ("_known", "_own", "_times")
+    __slots__ = ("_failure_times", "_own_counts", "_peer_counts")
 
     def __init__(self) -> None:
-        self._own: dict[str, int] = {}
-        self._known: dict[str, Mapping[str, int]] = {}
-        self._times: dict[str, deque[Millis]] = {}
+        self._own_counts: dict[str, int] = {}
+        self._peer_counts: dict[str, Mapping[str, int]] = {}
+        self._failure_times: dict[str, deque[Millis]] = {}
 
     def note(self, identity: str, now: Millis) -> None:
-        """Take a failure that this entry saw."""
-        self._own[identity] = self._own.get(identity, 0) + 1
+        """Record a failure that this entry observed."""
+        self._own_counts[identity] = self._own_counts.get(identity, 0) + 1
         self._add(identity, 1, now)
 
     def own(self) -> dict[str, int]:
-        """Return how many failures this entry has seen since its start, for the others."""
-        return dict(self._own)
+        """Return the failures that this entry observed since its start, to report to peers."""
+        return dict(self._own_counts)
 
     def take(self, peer: str, counts: Mapping[str, int], now: Millis) -> None:
-        """Take what another entry has seen since its start.
+        """Record the failures that another entry observed since its start.
 
-        The first report of a peer tells of its past and counts for nothing.
+        The first report of a peer is only a baseline and adds no failures: it covers the time
+        before this entry first heard of the peer.
         """
-        known = self._known.get(peer)
-        self._known[peer] = counts
-        if known is None:
+        previous_counts = self._peer_counts.get(peer)
+        self._peer_counts[peer] = counts
+        if previous_counts is None:
             return
         for identity, count in counts.items():
-            before = known.get(identity, 0)
-            # A smaller number comes from a peer that has started again.
-            self._add(identity, count - before if count >= before else count, now)
+            previous = previous_counts.get(identity, 0)
+            # A peer that has restarted counts from 0 again and reports a lower number.
+            self._add(identity, count - previous if count >= previous else count, now)
 
     def failing(self, now: Millis) -> set[str]:
-        """Return the upstreams that are to be avoided."""
-        found = set()
-        for identity, times in self._times.items():
-            while times and now - times[0] > WINDOW:
+        """Return the upstreams to avoid."""
+        failing_upstreams = set()
+        for identity, times in self._failure_times.items():
+            while times and now - times[0] > FAILURE_WINDOW:
                 times.popleft()
-            if len(times) >= FAILURES_TO_AVOID:
-                found.add(identity)
-        return found
+            if len(times) >= FAILURE_THRESHOLD:
+                failing_upstreams.add(identity)
+        return failing_upstreams
 
     def keep_only(self, identities: set[str], peers: set[str]) -> None:
-        """Forget upstreams and peers that are gone."""
-        self._own = {key: count for key, count in self._own.items() if key in identities}
-        self._times = {key: times for key, times in self._times.items() if key in identities}
-        self._known = {key: counts for key, counts in self._known.items() if key in peers}
+        """Forget all upstreams and peers other than the given ones."""
+        self._own_counts = {
+            key: count for key, count in self._own_counts.items() if key in identities
+        }
+        self._failure_times = {
+            key: times for key, times in self._failure_times.items() if key in identities
+        }
+        self._peer_counts = {
+            key: counts for key, counts in self._peer_counts.items() if key in peers
+        }
 
     def _add(self, identity: str, count: int, now: Millis) -> None:
-        times = self._times.setdefault(identity, deque(maxlen=_KEPT))
-        times.extend([now] * min(count, _KEPT))
+        times = self._failure_times.setdefault(identity, deque(maxlen=_MAX_FAILURES_KEPT))
+        times.extend([now] * min(count, _MAX_FAILURES_KEPT))
--- a/packages/core/tests/test_direct_failure_reports.py
+++ b/packages/core/tests/test_direct_failure_reports.py
@@ -1,11 +1,11 @@
-"""Failures at upstreams as all entries saw them."""
+"""Recent failures of upstreams, counted across all entries."""
 
 from __future__ import annotations
 
 from carobspool_core.direct import FailureReports
 
 
-def test_two_failures_of_late_wherever_seen_mark_an_upstream() -> None:
+def test_two_recent_failures_seen_by_any_entries_mark_an_upstream() -> None:
     reports = FailureReports()
     reports.take("p", {}, now=0.0)
     reports.note("x", now=100.0)
@@ -15,7 +15,7 @@
     assert reports.failing(2_200.0) == set()
 
 
-def test_what_a_peer_saw_before_it_was_heard_of_counts_for_nothing() -> None:
+def test_first_report_of_a_peer_adds_no_failures() -> None:
     reports = FailureReports()
     reports.take("p", {"x": 40}, now=0.0)
     assert reports.failing(1.0) == set()
@@ -23,7 +23,7 @@
     assert reports.failing(101.0) == {"x"}
 
 
-def test_a_peer_that_started_again_counts_from_nothing() -> None:
+def test_counts_of_a_restarted_peer_start_at_zero() -> None:
     reports = FailureReports()
     reports.take("p", {"x": 40}, now=0.0)
     reports.take("p", {"x": 1}, now=100.0)
@@ -32,7 +32,7 @@
     assert reports.failing(201.0) == {"x"}
 
 
-def test_a_repeated_hint_adds_nothing() -> None:
+def test_repeated_report_adds_no_failures() -> None:
     reports = FailureReports()
     reports.take("p", {}, now=0.0)
     for step in range(5):
@@ -40,7 +40,7 @@
     assert reports.failing(60.0) == set()
 
 
-def test_upstreams_and_peers_that_are_gone_are_forgotten() -> None:
+def test_removed_upstreams_and_peers_are_forgotten() -> None:
     reports = FailureReports()
     reports.take("p", {}, now=0.0)
     reports.take("p", {"x": 2}, now=1.0)
