--- a/packages/core/src/carobspool_core/direct/_configuration.py
+++ b/packages/core/src/carobspool_core/direct/_configuration.py
@@ -1,4 +1,4 @@
-"""What the operator declares for entries that call upstreams directly: routes and limits."""
+"""Operator configuration of entries that call upstreams directly: routes and limits."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class RouteKind(StrEnum):
-    """What may be repeated of the requests on a route."""
+    """Kind of the requests on a route; decides whether a request may be retried."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -30,24 +30,26 @@
 
 
 class Route(Struct, frozen=True, kw_only=True):
-    """One route of the operator.
+    """A route that maps requests to services.
 
     Attributes:
-        name: The operator's name for it.
-        host: Value of the ``Host`` header that selects it.
-        path_prefix: Begins and ends with a slash; the longest match wins.
-        kind: What may be repeated.
-        timeout: Longest time that a request may be kept waiting.
-        target_latency: Time within which an answer, or a stream's first event, is on time.
-        priority: 0 is the most urgent.
-        services: Where its requests go.
-        max_attempts: Upstreams on which one request may run; for a batch item, failed runs.
-        resumable: Whether a stream can go on at another upstream after its last event.
+        name: Name of the route.
+        host: Value of the ``Host`` header that selects the route.
+        path_prefix: Path prefix that selects the route. Begins and ends with a slash; the longest
+            match wins.
+        kind: Decides whether requests may be retried.
+        timeout: Longest time that a caller may wait for a request.
+        target_latency: Time within which an answer, or the first event of a stream, is on time.
+        priority: Priority of the requests; 0 is the most urgent.
+        services: Services that receive the requests, with their weights.
+        max_attempts: Number of upstreams on which one request may run; for a batch item, number of
+            failed runs.
+        resumable: Whether a stream can continue at another upstream after its last event.
         completion_target: Batch only: time from the first submission to the last result.
         retention: Batch only: time from the first submission after which an item may be given up.
-        waiting_limit: Batch only: tokens of unfinished items of one organisation, of all callers
-            where there are none; 0 is no limit.
-        needs_key: Whether callers show a key, where organisations are declared.
+        waiting_limit: Batch only: limit of the tokens of unfinished items of one organisation, or
+            of all callers if no organisations are declared; 0 is no limit.
+        needs_key: Whether callers must present a key if organisations are declared.
     """
 
     name: str
@@ -71,18 +73,18 @@
         return self.kind in (RouteKind.SAFE, RouteKind.BATCH) or self.resumable
 
     def service_for(self, key: str) -> str:
-        """Return the service for a request; the same key always gets the same one."""
-        total = sum(each.weight for each in self.services)
+        """Return the service for a request, chosen by weight; equal keys get the same service."""
+        total = sum(weighted.weight for weighted in self.services)
         point = xxh3_64_intdigest(key.encode()) / 2**64 * total
-        for each in self.services:
-            point -= each.weight
+        for weighted in self.services:
+            point -= weighted.weight
             if point < 0:
-                return each.service
+                return weighted.service
         return self.services[-1].service
 
 
 class CallerLimits(Struct, frozen=True, kw_only=True):
-    """What a caller may send, and how long it may take or stay idle."""
+    """Size limits and timeouts of a caller's connection."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
@@ -92,13 +94,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Configuration:
-    """One version of everything that the operator declares; versions only grow.
+    """One version of the operator's configuration.
 
     Attributes:
-        version: Its number.
-        routes: Where requests go.
-        limits: What one caller may send.
-        organisations: Who may send requests, ``None`` when anybody may.
+        version: Version number; a later configuration has a higher one.
+        routes: All routes.
+        limits: Size limits and timeouts of callers' connections.
+        organisations: Organisations that may send requests, ``None`` if any caller may.
     """
 
     version: int
@@ -112,20 +114,20 @@
         for route in self.routes:
             by_host.setdefault(route.host, []).append(route)
         longest_first = {
-            host: tuple(sorted(routes, key=lambda each: -len(each.path_prefix)))
+            host: tuple(sorted(routes, key=lambda route: -len(route.path_prefix)))
             for host, routes in by_host.items()
         }
         object.__setattr__(self, "_by_host", longest_first)
 
     def route_for(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix that begins ``path``, if there is one."""
+        """Return the route of a host with the longest matching prefix of ``path``, if any."""
         for route in self._by_host.get(host, ()):
             if path.startswith(route.path_prefix):
                 return route
         return None
 
     def has_open_jobs_at(self, host: str) -> bool:
-        """Whether a host has a batch route whose callers show no key."""
+        """Whether a host has a batch route that callers may use without a key."""
         return any(
             route.kind is RouteKind.BATCH and not route.needs_key
             for route in self._by_host.get(host, ())
--- a/packages/core/src/carobspool_core/direct/_events.py
+++ b/packages/core/src/carobspool_core/direct/_events.py
@@ -1,4 +1,4 @@
-"""Server-sent events with ids: cutting a byte stream into whole events."""
+"""Splits a byte stream of server-sent events into complete events with their ids."""
 
 from __future__ import annotations
 
@@ -6,7 +6,13 @@
 
 
 class StreamEvent(Struct, frozen=True):
-    """One whole event: its bytes as received, its id, and its data lines joined."""
+    """A complete server-sent event.
+
+    Attributes:
+        raw: Bytes as received, with the blank line at the end.
+        event_id: Numeric id, ``None`` if the event has none.
+        data: Data lines, joined by line feeds.
+    """
 
     raw: bytes
     event_id: int | None
@@ -14,41 +20,42 @@
 
 
 class EventSplitter:
-    """Cuts a stream into whole events; what is incomplete stays back."""
+    """Incremental splitter; buffers the incomplete event at the end of the received bytes."""
 
-    __slots__ = ("_rest",)
+    __slots__ = ("_buffer",)
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._buffer = b""
 
     @property
     def incomplete(self) -> bool:
-        """Whether the stream stands in the middle of an event."""
-        return bool(self._rest.strip())
+        """Whether the buffer holds part of an event."""
+        return bool(self._buffer.strip())
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """Add bytes and return the events that are now whole."""
-        data = self._rest + data
+        """Add received bytes and return the events that they complete."""
+        data = self._buffer + data
         events = []
         start = 0
         while True:
-            end, length = _boundary(data, start)
+            end, length = _find_separator(data, start)
             if end < 0:
                 break
             raw = data[start : end + length]
             start = end + length
             if raw.strip():
                 events.append(_parse(raw))
-        self._rest = data[start:]
+        self._buffer = data[start:]
         return events
 
 
-def _boundary(data: bytes, start: int) -> tuple[int, int]:
-    plain = data.find(b"\n\n", start)
-    carriage = data.find(b"\r\n\r\n", start)
-    if carriage >= 0 and (plain < 0 or carriage < plain):
-        return carriage, 4
-    return plain, 2
+def _find_separator(data: bytes, start: int) -> tuple[int, int]:
+    """Return offset and length of the next blank line; the offset is -1 if there is none."""
+    lf_at = data.find(b"\n\n", start)
+    crlf_at = data.find(b"\r\n\r\n", start)
+    if crlf_at >= 0 and (lf_at < 0 or crlf_at < lf_at):
+        return crlf_at, 4
+    return lf_at, 2
 
 
 def _parse(raw: bytes) -> StreamEvent:
