--- a/packages/core/src/carobspool_core/direct/__init__.py
+++ b/packages/core/src/carobspool_core/direct/__init__.py
@@ -1,6 +1,6 @@
-"""Data and decisions of entries that call upstreams directly, without a sidecar in between.
+"""Data types and decision logic of entries that call upstreams directly, without a sidecar.
 
-Pure: no network, no threads, no wall clock.
+The package uses no network, no threads and no wall clock; callers pass in the time.
 """
 
 from carobspool_core.direct._backlog import Backlog, WaitingGroup, group_waiting
@@ -14,7 +14,7 @@
 )
 from carobspool_core.direct._events import EventSplitter, StreamEvent
 from carobspool_core.direct._failure_reports import FailureReports
-from carobspool_core.direct._fleet_loads import NO_LOAD, PEER_TIME, FleetLoads, Load
+from carobspool_core.direct._fleet_loads import NO_LOAD, PEER_LOAD_TTL, FleetLoads, Load
 from carobspool_core.direct._groups import group_count, members_of_group, part_of_group
 from carobspool_core.direct._handover import Successor, lets_jobs_go
 from carobspool_core.direct._job_codec import (
@@ -87,7 +87,7 @@
     "LAPSE_GRACE",
     "LEAVING_RETRY_AFTER",
     "NO_LOAD",
-    "PEER_TIME",
+    "PEER_LOAD_TTL",
     "SILENT_AFTER",
     "Backlog",
     "BatchUrgency",
--- a/packages/core/tests/test_direct_fleet_loads.py
+++ b/packages/core/tests/test_direct_fleet_loads.py
@@ -1,4 +1,4 @@
-"""Totals of what all entries have in flight, against the sum of what each of them told."""
+"""Running totals of requests in flight, compared with the sum of all reported loads."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from carobspool_core.direct import NO_LOAD, PEER_TIME, FleetLoads, Load
+from carobspool_core.direct import NO_LOAD, PEER_LOAD_TTL, FleetLoads, Load
 
 PEERS = ("e1", "e2", "e3")
 UPSTREAMS = ("u", "u/1", "v")
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class Hint:
-    """Loads that a peer tells; hints may be lost, doubled or of a process that starts again."""
+    """Loads reported by a peer; hints may be lost, duplicated or sent by a restarted process."""
 
     peer: str
     loads: Mapping[str, Load]
@@ -26,14 +26,14 @@
 
 @dataclass(frozen=True)
 class Pause:
-    """Time in which nothing is heard."""
+    """Time in which no hint arrives."""
 
     duration: float
 
 
 @dataclass(frozen=True)
 class OwnChange:
-    """A request of this entry begins, or one that runs ends."""
+    """A request of this entry starts or ends."""
 
     upstream: str
     batch: bool
@@ -42,30 +42,31 @@
 
 STEPS = st.one_of(
     st.builds(Hint, st.sampled_from(PEERS), LOADS),
-    st.builds(Pause, st.sampled_from([1.0, PEER_TIME, PEER_TIME + 1.0])),
+    st.builds(Pause, st.sampled_from([1.0, PEER_LOAD_TTL, PEER_LOAD_TTL + 1.0])),
     st.builds(OwnChange, st.sampled_from(UPSTREAMS), st.booleans(), st.booleans()),
 )
 
 
 @given(st.lists(STEPS, max_size=40))
-def test_totals_are_always_the_sum_of_what_counts(steps: list[Hint | Pause | OwnChange]) -> None:
-    """A total that drifts from the sum keeps an upstream full, or free, until the process ends."""
+def test_totals_equal_the_sum_of_unexpired_loads(steps: list[Hint | Pause | OwnChange]) -> None:
+    """A total that drifts from the sum makes an upstream look full, or free, until the process
+    exits."""
     fleet = FleetLoads()
     now = 0.0
-    told: dict[str, tuple[float, Mapping[str, Load]]] = {}
+    reported: dict[str, tuple[float, Mapping[str, Load]]] = {}
     own = dict.fromkeys(UPSTREAMS, NO_LOAD)
     for step in steps:
         if isinstance(step, Hint):
             fleet.expire(now)
-            before = told.get(step.peer, (0.0, step.loads))[1]
-            if now - told.get(step.peer, (now, {}))[0] > PEER_TIME:
+            before = reported.get(step.peer, (0.0, step.loads))[1]
+            if now - reported.get(step.peer, (now, {}))[0] > PEER_LOAD_TTL:
                 before = step.loads
             freed = fleet.take(step.peer, step.loads, now)
             assert freed == any(
                 load.total > step.loads.get(upstream, NO_LOAD).total
                 for upstream, load in before.items()
             )
-            told[step.peer] = (now, step.loads)
+            reported[step.peer] = (now, step.loads)
         elif isinstance(step, Pause):
             now += step.duration
         else:
@@ -78,7 +79,9 @@
             own[step.upstream] = Load(load.online + online, load.batch + batch)
             fleet.add_own(step.upstream, online=online, batch=batch)
         fleet.expire(now)
-        counted = [loads for received, loads in told.values() if now - received <= PEER_TIME]
+        counted = [
+            loads for received, loads in reported.values() if now - received <= PEER_LOAD_TTL
+        ]
         for upstream in UPSTREAMS:
             loads = [each.get(upstream, NO_LOAD) for each in counted] + [own[upstream]]
             expected = Load(sum(each.online for each in loads), sum(each.batch for each in loads))
@@ -86,9 +89,9 @@
             at = {peer: load for peer, load in fleet.at(upstream).items() if load.total}
             assert at == {
                 peer: loads[upstream]
-                for peer, (received, loads) in told.items()
-                if now - received <= PEER_TIME and loads.get(upstream, NO_LOAD).total
+                for peer, (received, loads) in reported.items()
+                if now - received <= PEER_LOAD_TTL and loads.get(upstream, NO_LOAD).total
             }
         assert fleet.peers() == {
-            peer for peer, (received, _) in told.items() if now - received <= PEER_TIME
+            peer for peer, (received, _) in reported.items() if now - received <= PEER_LOAD_TTL
         }
