--- a/packages/core/tests/test_direct_groups.py
+++ b/packages/core/tests/test_direct_groups.py
@@ -1,4 +1,4 @@
-"""Groups of entries and their parts of the upstreams."""
+"""Partition of entries and upstreams into groups."""
 
 from __future__ import annotations
 
@@ -18,22 +18,22 @@
 
 
 @pytest.mark.parametrize(
-    ("entries", "upstreams", "found"),
+    ("entries", "upstreams", "expected"),
     [(4, 5, 1), (24, 27, 1), (58, 30, 1), (28, 300, 1), (100, 1_000, 6), (380, 414, 12)],
 )
-def test_small_fleets_are_one_group_and_large_ones_have_enough_upstreams_each(
-    entries: int, upstreams: int, found: int
+def test_group_count_leaves_enough_entries_and_upstreams_per_group(
+    entries: int, upstreams: int, expected: int
 ) -> None:
-    assert group_count(entries=entries, upstreams=upstreams) == found
+    assert group_count(entries=entries, upstreams=upstreams) == expected
 
 
 @given(st.integers(1, 200), st.integers(1, 12))
-def test_groups_are_equal_and_hold_each_entry_once(entries: int, groups: int) -> None:
+def test_groups_have_equal_sizes_and_contain_each_entry_once(entries: int, groups: int) -> None:
     names = _names(entries)
-    found = {name: members_of_group(name, names, groups) for name in names}
-    parts = dict(found.values())
+    group_of_entry = {name: members_of_group(name, names, groups) for name in names}
+    parts = dict(group_of_entry.values())
     assert sum(len(members) for members in parts.values()) == entries
-    for name, (number, members) in found.items():
+    for name, (number, members) in group_of_entry.items():
         assert name in members
         assert parts[number] == members
     sizes = [len(members) for members in parts.values()]
@@ -54,12 +54,12 @@
     assert max(sizes) - min(sizes) <= 1
 
 
-def test_few_members_move_when_one_comes_or_goes() -> None:
-    """Each move makes an entry open connections anew and start without a view of the loads."""
+def test_few_members_move_when_an_upstream_or_entry_leaves() -> None:
+    """After each move an entry has to open new connections and knows no loads at first."""
     ids = _ids(414)
     before = [set(part_of_group(ids, ids, number, 12)) for number in range(12)]
-    less = ids[:200] + ids[201:]
-    after = [set(part_of_group(less, less, number, 12)) for number in range(12)]
+    remaining = ids[:200] + ids[201:]
+    after = [set(part_of_group(remaining, remaining, number, 12)) for number in range(12)]
     assert all(len(new - old) <= 1 for old, new in zip(before, after, strict=True))
     names = _names(380)
     moved = sum(
