--- a/packages/core/src/carobspool_core/direct/_handover.py
+++ b/packages/core/src/carobspool_core/direct/_handover.py
@@ -1,9 +1,9 @@
-"""When a leaving entry hands its batch jobs over, and to whom.
+"""When an entry that shuts down releases its batch jobs.
 
-Load pattern: a rolling restart stops the next entry before the last one is back, so that for some
-seconds every entry is leaving. Jobs that are let go then have no owner until one has started again,
-and all batch work stands still for a large part of the time in which it is due. A leaving entry
-therefore works on until another can take its jobs.
+Load pattern: a rolling restart stops the next entry before the previous one is back, so that for
+some seconds every entry is shutting down. Jobs that are released then have no owner until an entry
+has started again, and all batch work stops for a large part of its completion target. An entry that
+shuts down therefore keeps its jobs running until another entry can take them over.
 """
 
 from __future__ import annotations
@@ -14,18 +14,18 @@
 
 from carobspool_core._clock import Millis
 
-LAST_HANDOVER: Millis = 1_600.0
-"""Time before its exit at which a leaving entry lets its jobs go although nobody is there to take
-them: its last commits may take as long as one call to a store that does not answer, 1.5 s."""
+FORCED_RELEASE_TIME_LEFT: Millis = 1_600.0
+"""Time before its exit at which an entry releases its jobs even if no other entry can take them
+over: its last commits may take as long as one call to an unresponsive store, 1.5 s."""
 
 
 class Successor(Struct, frozen=True, kw_only=True):
-    """Another entry, as one that could take jobs over.
+    """Another entry that might take over jobs.
 
     Attributes:
-        silent_for: Time since it was heard.
+        silent_for: Time since its last hint.
         leaving: Whether it is shutting down too.
-        store_ok: Whether it reaches the store; a takeover is a conditional write there.
+        store_ok: Whether it reaches the store; a takeover is a conditional write to the store.
     """
 
     silent_for: Millis
@@ -36,14 +36,14 @@
 def lets_jobs_go(
     successors: Iterable[Successor], *, time_left: Millis, silent_after: Millis
 ) -> bool:
-    """Return whether a leaving entry gives up its jobs now.
+    """Return whether an entry that shuts down should release its jobs now.
 
     Args:
         successors: The other entries.
-        time_left: Until this process exits.
-        silent_after: Silence after which an entry may be gone.
+        time_left: Time until this process exits.
+        silent_after: Time without a hint after which another entry may be down.
     """
-    if time_left <= LAST_HANDOVER:
+    if time_left <= FORCED_RELEASE_TIME_LEFT:
         return True
     return any(
         not each.leaving and each.store_ok and each.silent_for < silent_after for each in successors
--- a/packages/core/src/carobspool_core/direct/_leaving.py
+++ b/packages/core/src/carobspool_core/direct/_leaving.py
@@ -1,43 +1,42 @@
-"""Which requests a leaving entry still takes on.
+"""Which new requests an entry accepts while it shuts down.
 
-Load pattern: the balancer goes on sending connections to an entry that is not ready, since most
-entries of its failure domain are leaving too, and callers use open connections until the process is
-gone. A request that is taken shortly before the exit is cut in the middle; one that is refused as
-not run is served by another entry.
+Load pattern: the balancer still sends connections to an entry that is not ready if most entries of
+its failure domain are shutting down too, and callers use open connections until the process exits.
+A request that is accepted shortly before the exit is cut off. A request that is refused as not run
+is retried at another entry.
 """
 
 from __future__ import annotations
 
 from carobspool_core._clock import Millis
 
-LONGEST_TO_MEAN = 3.0
-"""Longest duration of a request against the mean of its service, on a full fleet."""
-SHORTEST_ROOM: Millis = 500.0
-"""Time that any request is given, for plain calls whose mean of some 25 ms says little of the
-slowest."""
-JOB_CALL_ROOM: Millis = 2_500.0
-"""Time that a call on a job is given: asking an owner that is silent takes 1.8 s, and the two calls
-to a slow store that follow 0.3 s each."""
+MAX_TO_MEAN_DURATION = 3.0
+"""Ratio of the longest duration of a request to the mean of its service, on a full fleet."""
+MIN_TIME_LEFT: Millis = 500.0
+"""Lower limit for short requests: a mean of some 25 ms says little about the slowest ones."""
+MIN_TIME_LEFT_FOR_JOB_CALL: Millis = 2_500.0
+"""A call on a job may ask an owner that does not answer, which takes 1.8 s, and then makes two
+calls to the store, which take 0.3 s each if the store is slow."""
 LEAVING_RETRY_AFTER: Millis = 20.0
-"""When the caller is to come back: at once, since the retry reaches another entry."""
+"""Retry delay for callers: almost none, since the retry reaches another entry."""
 
 
 def has_time_to_serve(time_left: Millis | None, mean_duration: Millis) -> bool:
-    """Return whether a new request will probably end before this process does.
+    """Return whether a new request will probably end before this process exits.
 
     Args:
-        time_left: Until the process exits; ``None`` when it is not leaving.
-        mean_duration: How long requests of the service take.
+        time_left: Time until the process exits; ``None`` if it is not shutting down.
+        mean_duration: Mean duration of requests of the service.
     """
     if time_left is None:
         return True
-    return time_left >= max(SHORTEST_ROOM, mean_duration * LONGEST_TO_MEAN)
+    return time_left >= max(MIN_TIME_LEFT, mean_duration * MAX_TO_MEAN_DURATION)
 
 
 def has_time_for_job_call(time_left: Millis | None) -> bool:
-    """Return whether a call on a batch job will probably end before this process does.
+    """Return whether a call on a batch job will probably end before this process exits.
 
     Args:
-        time_left: Until the process exits; ``None`` when it is not leaving.
+        time_left: Time until the process exits; ``None`` if it is not shutting down.
     """
-    return time_left is None or time_left >= JOB_CALL_ROOM
+    return time_left is None or time_left >= MIN_TIME_LEFT_FOR_JOB_CALL
--- a/packages/core/tests/test_direct_handover.py
+++ b/packages/core/tests/test_direct_handover.py
@@ -1,4 +1,4 @@
-"""When a leaving entry gives up its jobs, played through rolling restarts."""
+"""When an entry that shuts down releases its jobs, simulated for rolling restarts."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 STEP = 50.0
 SILENT_AFTER = 900.0
-DRAIN = 4_500.0
-"""How long an entry without jobs serves on after it was told to stop."""
-LONGEST = 6_800.0
-"""How long one with jobs does."""
-START = 1_100.0
-"""From an exit to the first hints of the next process."""
-HINT = 500.0
+EXIT_WITHOUT_JOBS_AFTER = 4_500.0
+"""Time from the stop signal to the exit of an entry without jobs."""
+EXIT_AFTER = 6_800.0
+"""Time from the stop signal to the exit of an entry that keeps its jobs."""
+RESTART_TIME = 1_100.0
+"""Time from an exit to the first hints of the next process."""
+FIRST_HINT_DELAY = 500.0
 
 
-def test_jobs_go_at_once_when_another_entry_stays() -> None:
+def test_jobs_are_released_at_once_if_another_entry_stays_up() -> None:
     staying = Successor(silent_for=100.0, leaving=False, store_ok=True)
     assert lets_jobs_go([staying], time_left=6_800.0, silent_after=SILENT_AFTER)
 
@@ -32,7 +32,7 @@
         Successor(silent_for=100.0, leaving=False, store_ok=False),
     ],
 )
-def test_jobs_stay_until_shortly_before_the_exit_when_nobody_can_take_them(
+def test_jobs_are_kept_until_shortly_before_the_exit_if_no_entry_can_take_them_over(
     unfit: Successor,
 ) -> None:
     assert not lets_jobs_go([unfit], time_left=6_800.0, silent_after=SILENT_AFTER)
@@ -42,58 +42,61 @@
 
 @dataclass(slots=True)
 class _Entry:
-    """One entry of a rolling restart: told to stop, gone, and started again."""
+    """An entry in a rolling restart, which is stopped, exits and starts again."""
 
-    told: float
+    stopped_at: float
     has_jobs: bool = True
     gone_at: float | None = None
 
-    def is_up(self, now: float) -> bool:
-        return now < self.told or self.is_back(now)
+    def accepts_jobs(self, now: float) -> bool:
+        return now < self.stopped_at or self.is_back(now)
 
     def is_back(self, now: float) -> bool:
-        return self.gone_at is not None and now >= self.gone_at + START
+        return self.gone_at is not None and now >= self.gone_at + RESTART_TIME
 
-    def works(self, now: float) -> bool:
+    def runs_jobs(self, now: float) -> bool:
         return self.has_jobs and (self.gone_at is None or self.is_back(now))
 
 
-def _longest_standstill(entries: int, gap: float) -> float:
-    """Play a rolling restart; return the longest time in which no entry has the jobs."""
-    fleet = [_Entry(told=number * gap) for number in range(entries)]
-    standstill = longest = 0.0
+def _longest_time_without_owner(entries: int, gap: float) -> float:
+    """Simulate a rolling restart; return the longest time during which no entry owns the jobs."""
+    fleet = [_Entry(stopped_at=number * gap) for number in range(entries)]
+    without_owner = longest = 0.0
     for step in range(int((entries * gap + 15_000.0) / STEP)):
         now = step * STEP
-        up = [each for each in fleet if each.is_up(now)]
+        up = [each for each in fleet if each.accepts_jobs(now)]
         released = False
         for each in fleet:
-            if each.gone_at is not None or now < each.told:
+            if each.gone_at is not None or now < each.stopped_at:
                 continue
             others = [
                 Successor(silent_for=0.0, leaving=False, store_ok=True)
                 for other in up
                 if other is not each
-                and (other.gone_at is None or now >= other.gone_at + START + HINT)
+                and (
+                    other.gone_at is None or now >= other.gone_at + RESTART_TIME + FIRST_HINT_DELAY
+                )
             ]
-            time_left = each.told + LONGEST - now
+            time_left = each.stopped_at + EXIT_AFTER - now
             if each.has_jobs and lets_jobs_go(
                 others, time_left=time_left, silent_after=SILENT_AFTER
             ):
                 each.has_jobs = False
                 released = True
-            if not each.has_jobs and now >= each.told + DRAIN:
+            if not each.has_jobs and now >= each.stopped_at + EXIT_WITHOUT_JOBS_AFTER:
                 each.gone_at = now
-        if up and not any(each.works(now) for each in fleet):
-            # Released jobs are known to all that are up; one of them takes them over.
+        if up and not any(each.runs_jobs(now) for each in fleet):
+            # All entries that are up know of released jobs, and one of them takes the jobs over.
             up[0].has_jobs = True
-        working = released or any(each.works(now) for each in fleet)
-        standstill = 0.0 if working else standstill + STEP
-        longest = max(longest, standstill)
+        working = released or any(each.runs_jobs(now) for each in fleet)
+        without_owner = 0.0 if working else without_owner + STEP
+        longest = max(longest, without_owner)
     return longest
 
 
 @pytest.mark.parametrize(("entries", "gap"), [(5, 600.0), (4, 600.0), (5, 300.0), (5, 2_000.0)])
-def test_work_does_not_stand_still_in_a_rolling_restart(entries: int, gap: float) -> None:
-    """All entries are told to stop before the first one is back. Letting go at the signal left the
-    jobs without an owner until then: 3.3 to 5.0 s. The last one keeps them until it may not."""
-    assert _longest_standstill(entries, gap) <= 500.0
+def test_jobs_always_have_an_owner_during_a_rolling_restart(entries: int, gap: float) -> None:
+    """All entries receive the stop signal before the first one is back. Releasing the jobs at the
+    signal left them without an owner for 3.3 to 5.0 s. The last entry must keep them for as long as
+    it may."""
+    assert _longest_time_without_owner(entries, gap) <= 500.0
