--- a/packages/core/src/carobspool_core/direct/_job_codec.py
+++ b/packages/core/src/carobspool_core/direct/_job_codec.py
@@ -1,4 +1,4 @@
-"""Job records as JSON values for the object store."""
+"""Conversion of batch job records to and from the JSON values in the object store."""
 
 from __future__ import annotations
 
@@ -21,15 +21,16 @@
 
 def _checked_text(value: Any) -> str:
     if not isinstance(value, str):
-        raise ValueError("a text")
+        raise ValueError("a string")
     return value
 
 
 Text = Annotated[str, ValidatedBy(_checked_text)]
-"""Any text. A validated ``str`` has no halves of surrogate pairs, but those stand for the bytes of
-an upstream's answer that are no UTF-8, and a job with such a result must stay readable."""
+"""A string that may contain lone surrogates, which a validated ``str`` rejects. They represent
+bytes of an upstream's answer that are not UTF-8, and a job with such a result must stay
+readable."""
 
-_ENDS = tuple(each.value for each in ItemEnd)
+_END_VALUES = tuple(each.value for each in ItemEnd)
 _Row = Annotated[list[Text], Bounds(min_length=3, max_length=3)]
 
 
@@ -37,7 +38,7 @@
     match value:
         case [int() as last_event, str() as text] if last_event >= 0:
             return ItemPart(last_event=last_event, text=text)
-    raise ValueError("a list of the last event's number and a text")
+    raise ValueError("a list of the last event id and a string")
 
 
 _Part = Annotated[ItemPart, ValidatedBy(_checked_part)]
@@ -70,7 +71,7 @@
 
 
 def job_to_json(job: JobInput) -> Json:
-    """Return the stored form of a job's input."""
+    """Convert the input of a job to its stored form."""
     record = {
         "host": job.host,
         "path": job.path,
@@ -93,10 +94,10 @@
 
 
 def job_from_json(job_id: str, value: Json) -> JobInput:
-    """Read the stored form of a job's input.
+    """Read the input of a job from its stored form.
 
     Raises:
-        UnusableRecordError: It is not one.
+        UnusableRecordError: The value is not a valid job input.
     """
     model = read_record(_Job, value)
     return JobInput(
@@ -110,7 +111,7 @@
                 item_id=item.id,
                 path=item.path,
                 headers=item.headers,
-                body=_body(item, number),
+                body=_decoded_body(item, number),
                 tokens=item.tokens,
             )
             for number, item in enumerate(model.items)
@@ -120,7 +121,7 @@
 
 
 def progress_to_json(progress: JobProgress) -> Json:
-    """Return the stored form of a job's progress."""
+    """Convert the progress of a job to its stored form."""
     return {
         "owner": progress.owner,
         "ended": progress.ended,
@@ -132,10 +133,10 @@
 
 
 def progress_from_json(value: Json) -> JobProgress:
-    """Read the stored form of a job's progress.
+    """Read the progress of a job from its stored form.
 
     Raises:
-        UnusableRecordError: It is not one.
+        UnusableRecordError: The value is not a valid job progress.
     """
     model = read_record(_Progress, value)
     return JobProgress(
@@ -153,29 +154,29 @@
 
 
 def results_from_json(value: Json) -> tuple[ItemResult, ...]:
-    """Read results as they stand in a progress, or in a peer's answer.
+    """Read results in the form that stored progress and answers of peers contain.
 
     Raises:
-        UnusableRecordError: They are none.
+        UnusableRecordError: The value is not a valid list of results.
     """
     return _results(read_record(_Results, {"results": value}).results)
 
 
 def _results(rows: list[list[str]]) -> tuple[ItemResult, ...]:
-    found = []
+    results = []
     for number, (item_id, end, text) in enumerate(rows):
-        if end not in _ENDS:
-            raise _unusable(f"results[{number}][1]", repr(end[:80]), ", ".join(_ENDS))
-        found.append(ItemResult(item_id=item_id, end=ItemEnd(end), text=text))
-    return tuple(found)
+        if end not in _END_VALUES:
+            raise _unusable_record(f"results[{number}][1]", repr(end[:80]), ", ".join(_END_VALUES))
+        results.append(ItemResult(item_id=item_id, end=ItemEnd(end), text=text))
+    return tuple(results)
 
 
-def _body(item: _Item, number: int) -> bytes:
+def _decoded_body(item: _Item, number: int) -> bytes:
     try:
         return base64.b64decode(item.body, validate=True)
     except (ValueError, binascii.Error) as error:
-        raise _unusable(f"items[{number}].body", str(error), "base64") from error
+        raise _unusable_record(f"items[{number}].body", str(error), "base64") from error
 
 
-def _unusable(path: str, found: str, allowed: str) -> UnusableRecordError:
+def _unusable_record(path: str, found: str, allowed: str) -> UnusableRecordError:
     return UnusableRecordError([Problem(file="", path=path, found=found[:80], allowed=allowed)])
