--- a/packages/core/src/carobspool_core/direct/_job_work.py
+++ b/packages/core/src/carobspool_core/direct/_job_work.py
@@ -1,9 +1,9 @@
-"""One batch job as its owner works on it: which items wait, run, are done, and what is committed.
+"""State of a batch job at its owner: waiting and running items, results and commits.
 
-A result counts only once the store has acknowledged it. Its position is its place in the committed
-list, so a position never changes its content. A commit also carries how far the open items are, and
-the next owner has them go on after that event. Whatever is not committed may be lost with the owner
-and is then run again.
+A result is valid only after the store has acknowledged it. Its position is its index in the
+committed list, so the content at a position never changes. A commit also contains the received
+events of unfinished items, and the next owner resumes the items after these events. Uncommitted
+work may be lost with the owner; the next owner then runs it again.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class ItemEnd(StrEnum):
-    """How an item ended."""
+    """Outcome of an item."""
 
     COMPLETED = "completed"
     DEAD = "dead"
@@ -34,17 +34,18 @@
 
 
 class JobInput(Struct, frozen=True, kw_only=True):
-    """A batch job as submitted; it never changes.
+    """A batch job as submitted; immutable.
 
     Attributes:
-        job_id: Name of the job inside the system.
-        host: Selects the route of its items, with their paths.
-        path: Path under which it was submitted.
-        owner: The entry that accepted it, name and incarnation.
-        submitted: Wall-clock milliseconds; only for time limits of a minute and more.
-        items: Its items.
-        organisation: Whose it is; empty for a job of nobody, ``None`` where the operator declared
-            no organisations.
+        job_id: Internal id of the job.
+        host: Selects the route of the items, together with their paths.
+        path: Path to which the job was submitted.
+        owner: Name and incarnation of the entry that accepted the job.
+        submitted: Time of the submission, in wall-clock milliseconds; only for time limits of a
+            minute or more.
+        items: Items of the job.
+        organisation: Organisation that submitted the job; empty if the job belongs to none,
+            ``None`` if no organisations are declared.
     """
 
     job_id: str
@@ -65,11 +66,11 @@
 
 
 class ItemPart(Struct, frozen=True, kw_only=True):
-    """What is there of an item that is not finished: its first events.
+    """The received events of an unfinished item.
 
     Attributes:
-        last_event: Id of the last of them.
-        text: Their data, in order, separated by line feeds.
+        last_event: Id of the last received event.
+        text: Data of the events in order, separated by line feeds.
     """
 
     last_event: int
@@ -77,15 +78,15 @@
 
 
 class JobProgress(Struct, frozen=True, kw_only=True):
-    """What is committed of a job.
+    """The committed progress of a job.
 
     Attributes:
-        owner: The entry that works on it, name and incarnation.
-        ended: Whether its caller ended it.
-        total: Number of its items.
+        owner: Name and incarnation of the entry that owns the job.
+        ended: Whether the caller ended the job.
+        total: Number of items.
         results: Final results in the order of their positions.
-        failures: Failed runs of items that are not finished.
-        parts: What is there of items that are not finished.
+        failures: Number of failed runs by unfinished item.
+        parts: Received events by unfinished item.
     """
 
     owner: str
@@ -97,71 +98,75 @@
 
 
 class ItemWork(Struct):
-    """An item that is not finished: its text so far and its failed runs.
+    """An unfinished item with its received events and failed runs.
 
-    The task that runs the item adds events while another reads them for a commit. The number of
-    events follows from the list, so that text and number always fit together.
+    The task that runs the item appends events while another task reads them for a commit. The
+    number of events is derived from the list, so that text and number are always consistent.
 
     Attributes:
-        item: As submitted.
-        failures: Failed runs.
-        kept: What an earlier owner had committed of it.
-        texts: Data of the events after that, in order.
-        running: Whether a run is under way.
-        not_before: When the next run may start.
+        item: The item as submitted.
+        failures: Number of failed runs.
+        committed_part: Events that an earlier owner committed.
+        texts: Data of the events after the committed ones, in order.
+        running: Whether a run is in progress.
+        not_before: Earliest time at which the next run may start.
     """
 
     item: JobItem
     failures: int = 0
-    kept: ItemPart | None = None
+    committed_part: ItemPart | None = None
     texts: list[str] = field(default_factory=list)
     running: bool = False
     not_before: Millis = 0.0
 
     @property
     def last_event(self) -> int:
-        """Id of the last event received, 0 when there is none; ids begin at 1."""
-        return len(self.texts) + (self.kept.last_event if self.kept is not None else 0)
+        """Id of the last received event, 0 if there is none; ids begin at 1."""
+        return len(self.texts) + (
+            self.committed_part.last_event if self.committed_part is not None else 0
+        )
 
     @property
     def text(self) -> str:
         """The data of all events, separated by line feeds."""
-        return _joined(self.kept, self.texts)
+        return _join_texts(self.committed_part, self.texts)
 
     def part(self) -> ItemPart | None:
-        """Return what is there now, ``None`` when there is nothing."""
+        """Return the events received so far, ``None`` if there are none."""
         texts = list(self.texts)
         if not texts:
-            return self.kept
-        before = self.kept.last_event if self.kept is not None else 0
-        return ItemPart(last_event=before + len(texts), text=_joined(self.kept, texts))
+            return self.committed_part
+        committed = self.committed_part.last_event if self.committed_part is not None else 0
+        return ItemPart(
+            last_event=committed + len(texts), text=_join_texts(self.committed_part, texts)
+        )
 
     def restart(self) -> None:
-        """Forget what was received, before the item is run from its beginning again."""
-        self.kept = None
+        """Discard all received events; the next run starts from the beginning."""
+        self.committed_part = None
         self.texts = []
 
 
 class JobWork:
-    """The items of an owned job. Not safe for threads; its owner locks."""
+    """The items of an owned job. Not thread-safe; callers hold a lock."""
 
-    __slots__ = ("_committed", "_ended", "_failed", "_input", "_open", "_pending")
+    __slots__ = ("_committed", "_ended", "_input", "_needs_commit", "_open", "_uncommitted")
 
     def __init__(self, job: JobInput, progress: JobProgress) -> None:
         self._input = job
         self._committed: list[ItemResult] = list(progress.results)
-        self._pending: list[ItemResult] = []
+        self._uncommitted: list[ItemResult] = []
         self._ended = progress.ended
-        self._failed = False
-        finished = {each.item_id for each in progress.results}
+        self._needs_commit = False
+        committed_ids = {each.item_id for each in progress.results}
         self._open = {
             each.item_id: ItemWork(
                 item=each,
                 failures=progress.failures.get(each.item_id, 0),
-                kept=progress.parts.get(each.item_id),
+                committed_part=progress.parts.get(each.item_id),
             )
             for each in job.items
-            if each.item_id not in finished
+            if each.item_id not in committed_ids
         }
 
     @property
@@ -176,18 +181,18 @@
 
     @property
     def committed(self) -> Sequence[ItemResult]:
-        """Results by position."""
+        """Committed results by position."""
         return self._committed
 
     @property
     def has_uncommitted(self) -> bool:
-        """Whether there is something to commit."""
-        return bool(self._pending) or self._failed
+        """Whether results or failed runs are not committed yet."""
+        return bool(self._uncommitted) or self._needs_commit
 
     @property
     def finished(self) -> bool:
-        """Whether nothing is left to run or to commit."""
-        return not self._pending and (self._ended or not self._open)
+        """Whether no items are left to run and no results are left to commit."""
+        return not self._uncommitted and (self._ended or not self._open)
 
     @property
     def all_run(self) -> bool:
@@ -196,18 +201,18 @@
 
     @property
     def events_received(self) -> int:
-        """Events of the items that are not finished."""
+        """Number of events received for unfinished items."""
         return sum(work.last_event for work in self._open.values())
 
     @property
     def waiting_tokens(self) -> int:
-        """Tokens of the items that no upstream has finished."""
+        """Tokens of the unfinished items; 0 after the caller has ended the job."""
         if self._ended:
             return 0
         return sum(each.item.tokens for each in self._open.values())
 
     def waiting_items(self, now: Millis) -> list[ItemWork]:
-        """Return the items that can be started, those that have received most first."""
+        """Return the items that may start now, those with the most received events first."""
         if self._ended:
             return []
         waiting = [
@@ -220,53 +225,53 @@
         return list(self._open.values())
 
     def finish(self, work: ItemWork, end: ItemEnd) -> None:
-        """Give an item its result; it becomes readable once committed."""
+        """Record the result of an item; callers can read it after the next commit."""
         if self._open.pop(work.item.item_id, None) is None:
             return
         text = work.text if end is ItemEnd.COMPLETED else ""
-        self._pending.append(ItemResult(item_id=work.item.item_id, end=end, text=text))
+        self._uncommitted.append(ItemResult(item_id=work.item.item_id, end=end, text=text))
 
     def failed(self, work: ItemWork, *, max_attempts: int) -> bool:
-        """Count a failed run; return whether the item is now given up."""
+        """Count a failed run; return whether the item is given up."""
         work.failures += 1
-        self._failed = True
+        self._needs_commit = True
         if work.failures < max_attempts:
             return False
         self.finish(work, ItemEnd.DEAD)
         return True
 
     def rejected(self, work: ItemWork) -> None:
-        """Take the answer that an item can never be done; a single one is final."""
+        """Record the answer that an item can never succeed; one such answer is final."""
         self.finish(work, ItemEnd.DEAD)
 
     def end(self) -> None:
-        """End the job: nothing is started any more, what is committed stays."""
+        """End the job: no further items start, and committed results stay."""
         self._ended = True
 
     def proposal(self, owner: str) -> JobProgress:
         """Return the progress to commit."""
         failures = {key: work.failures for key, work in self._open.items() if work.failures}
-        results = (*self._committed, *self._pending)
-        self._failed = False
+        results = (*self._committed, *self._uncommitted)
+        self._needs_commit = False
         return JobProgress(
             owner=owner,
             total=len(self._input.items),
             ended=self._ended,
             results=results,
             failures=failures,
-            parts=self._parts(),
+            parts=self._partial_items(),
         )
 
     def adopt(self, progress: JobProgress) -> None:
-        """Take what the store holds, after an acknowledgement or a conflict with an own write."""
+        """Apply the stored progress, after a commit was acknowledged or met a conflict."""
         self._committed = list(progress.results)
         self._ended = self._ended or progress.ended
         committed = {each.item_id for each in self._committed}
-        self._pending = [each for each in self._pending if each.item_id not in committed]
+        self._uncommitted = [each for each in self._uncommitted if each.item_id not in committed]
         for item_id in committed & set(self._open):
             del self._open[item_id]
 
-    def _parts(self) -> dict[str, ItemPart]:
+    def _partial_items(self) -> dict[str, ItemPart]:
         parts: dict[str, ItemPart] = {}
         if self._ended:
             return parts
@@ -277,10 +282,10 @@
         return parts
 
     def not_committed(self) -> None:
-        """Remember that a proposal has to be made again."""
-        self._failed = True
+        """Record that the last proposed progress was not stored and must be proposed again."""
+        self._needs_commit = True
 
 
-def _joined(kept: ItemPart | None, texts: Sequence[str]) -> str:
-    parts = list(texts) if kept is None else [kept.text, *texts]
+def _join_texts(committed_part: ItemPart | None, texts: Sequence[str]) -> str:
+    parts = list(texts) if committed_part is None else [committed_part.text, *texts]
     return "\n".join(parts)
--- a/packages/core/tests/test_direct_job_work.py
+++ b/packages/core/tests/test_direct_job_work.py
@@ -1,4 +1,4 @@
-"""What becomes of a job's items between runs, commits, conflicts and takeovers."""
+"""State of a job's items across runs, commits, conflicts and takeovers."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     return JobWork(_job(count), JobProgress(owner="a#1", total=count))
 
 
-def test_records_survive_the_store() -> None:
+def test_records_round_trip_through_json() -> None:
     job = _job()
     assert job_from_json("j", job_to_json(job)) == job
     work = _work()
@@ -53,9 +53,9 @@
     assert not work.has_uncommitted
 
 
-def test_results_that_come_during_a_commit_keep_their_place() -> None:
-    """A commit is under way when a second item finishes. The reader must see the first at position
-    0 and the second at 1, neither twice."""
+def test_results_received_during_a_commit_keep_their_positions() -> None:
+    """A second item finishes while a commit is in progress. A reader must see the first item at
+    position 0 and the second at position 1, each of them once."""
     work = _work()
     first, second, _ = work.open_items()
     work.finish(first, ItemEnd.COMPLETED)
@@ -67,20 +67,21 @@
     assert [each.item_id for each in work.committed] == ["i0", "i1"]
 
 
-def test_a_failed_run_counts_over_a_takeover_until_the_item_is_dead() -> None:
-    """An item fails twice at one owner, which dies; the next one gives it up at the third."""
+def test_failed_runs_are_counted_across_a_takeover() -> None:
+    """An item fails twice at an owner, which then dies. The next owner gives the item up after its
+    third failure."""
     work = _work(1)
     item = work.open_items()[0]
     assert not work.failed(item, max_attempts=3)
     assert not work.failed(item, max_attempts=3)
-    later = JobWork(_job(1), progress_from_json(progress_to_json(work.proposal("b#1"))))
-    assert later.failed(later.open_items()[0], max_attempts=3)
-    assert [each.end for each in later.proposal("b#1").results] == [ItemEnd.DEAD]
+    next_owner = JobWork(_job(1), progress_from_json(progress_to_json(work.proposal("b#1"))))
+    assert next_owner.failed(next_owner.open_items()[0], max_attempts=3)
+    assert [each.end for each in next_owner.proposal("b#1").results] == [ItemEnd.DEAD]
 
 
-def test_the_next_owner_goes_on_after_what_was_committed() -> None:
-    """The owner is lost in the middle of an item, twice. Its text is whole in the end, with the
-    events that came after the last commit received again."""
+def test_next_owner_resumes_after_the_committed_events() -> None:
+    """Two owners are lost in the middle of an item. The final text is complete: each next owner
+    receives the events after the last commit again."""
     work = _work(1)
     for number, owner in enumerate(("b#1", "c#1")):
         item = work.open_items()[0]
@@ -96,7 +97,7 @@
     assert result.text == "t00\nt01\nt10\nt11\nend"
 
 
-def test_a_failed_run_starts_from_the_beginning_also_after_a_takeover() -> None:
+def test_restart_discards_events_also_after_a_takeover() -> None:
     work = _work(1)
     work.open_items()[0].texts.append("t")
     work = JobWork(_job(1), work.proposal("b#1"))
@@ -106,14 +107,14 @@
     assert not work.proposal("b#1").parts
 
 
-def test_an_ended_job_keeps_no_parts() -> None:
+def test_ended_job_commits_no_partial_items() -> None:
     work = _work(1)
     work.open_items()[0].texts.append("t")
     work.end()
     assert not work.proposal("a#1").parts
 
 
-def test_an_item_that_can_never_be_done_is_dead_at_once_and_has_no_text() -> None:
+def test_rejected_item_is_dead_at_once_and_has_no_text() -> None:
     work = _work(1)
     item = work.open_items()[0]
     item.texts.append("half")
@@ -122,7 +123,7 @@
     assert (result.end, result.text) == (ItemEnd.DEAD, "")
 
 
-def test_an_ended_job_starts_nothing_and_waits_for_nothing() -> None:
+def test_ended_job_has_no_waiting_items() -> None:
     work = _work()
     work.end()
     assert work.waiting_items(0.0) == []
@@ -137,12 +138,12 @@
 
 
 @given(st.lists(st.sampled_from(["finish", "propose", "adopt", "lose"]), max_size=40))
-def test_no_interleaving_lists_an_item_twice_or_moves_a_position(steps: list[str]) -> None:
-    """Commits are proposed, acknowledged, or acknowledged late after their answer was lost."""
+def test_interleaved_commits_neither_duplicate_items_nor_move_positions(steps: list[str]) -> None:
+    """Commits are proposed, acknowledged, or acknowledged late because their answer was lost."""
     work = _work(6)
     stored = JobProgress(owner="a#1", total=6)
     proposed: JobProgress | None = None
-    seen: list[str] = []
+    longest_seen: list[str] = []
     for step in steps:
         open_items = work.open_items()
         if step == "finish" and open_items:
@@ -156,6 +157,6 @@
             work = JobWork(_job(6), stored)
             proposed = None
         committed = [each.item_id for each in work.committed]
-        assert committed[: len(seen)] == seen[: len(committed)]
-        seen = max(seen, committed, key=len)
+        assert committed[: len(longest_seen)] == longest_seen[: len(committed)]
+        longest_seen = max(longest_seen, committed, key=len)
         assert len(set(committed)) == len(committed)
