--- a/packages/core/src/carobspool_core/direct/_shared_view.py
+++ b/packages/core/src/carobspool_core/direct/_shared_view.py
@@ -1,64 +1,76 @@
-"""Comparing what processes know of the same list, to find the one that has missed something.
+"""Detects that a process has missed a change of a list which it watches.
 
-A watch that hears nothing looks just like one with nothing to hear. Processes tell each other a
-version of what they know; one that stays behind, or apart, for longer than a change takes to reach
-everybody reads the list again.
+A broken watch, which receives no events, looks like a working watch of a list that does not change.
+Processes therefore exchange the versions of their views. A process whose view stays behind, or
+differs, for longer than a change takes to reach every process reads the list again.
 """
 
 from __future__ import annotations
 
 from carobspool_core._clock import Millis
 
-CHANGE_TIME: Millis = 400.0
-"""Longest time in which a change reaches every process in order: an answer of the store takes up to
-300 ms when it is slow, and hints come twenty times a second."""
-READ_AGAIN: Millis = 1_000.0
-"""Time between two readings while the difference stays, for each is a priced call."""
+PROPAGATION_TIME: Millis = 400.0
+"""Longest time in which a change reaches every process if nothing is lost: a slow store answers
+within 300 ms, and hints are sent twenty times a second."""
+REREAD_INTERVAL: Millis = 1_000.0
+"""Least time between two reads while the difference lasts, since each read is a billed call."""
 
 
 class SharedView:
-    """What this process knows, as one number, against what others tell of theirs.
+    """Compares the version of this process's view of a list with the versions of its peers.
 
     Args:
-        change_time: Longest time in which a change reaches every process in order.
-        read_again: Time between two readings while the difference stays.
+        change_time: Longest time in which a change reaches every process if nothing is lost.
+        read_again: Least time between two reads while the difference lasts.
 
     Attributes:
-        version: Of this process's view: a growing number or a digest.
+        version: Version of this process's view: an increasing number or a digest.
     """
 
-    __slots__ = ("_change_time", "_read", "_read_again", "_since", "version")
+    __slots__ = (
+        "_differs_since",
+        "_last_reread_at",
+        "_propagation_time",
+        "_reread_interval",
+        "version",
+    )
 
     def __init__(
-        self, *, change_time: Millis = CHANGE_TIME, read_again: Millis = READ_AGAIN
+        self, *, change_time: Millis = PROPAGATION_TIME, read_again: Millis = REREAD_INTERVAL
     ) -> None:
-        self._change_time = change_time
-        self._read_again = read_again
+        self._propagation_time = change_time
+        self._reread_interval = read_again
         self.version = 0
-        self._since: Millis | None = None
-        self._read: Millis = float("-inf")
+        self._differs_since: Millis | None = None
+        self._last_reread_at: Millis = float("-inf")
 
     def is_behind(self, version: int, now: Millis) -> bool:
-        """Whether to read again since another process knows a higher version."""
-        return self._is_due(version > self.version, now)
+        """Whether to read the list again because a peer reports a higher version."""
+        return self._reread_is_due(version > self.version, now)
 
     def differs(self, digest: int, now: Millis) -> bool:
-        """Whether to read again since another process knows something else.
+        """Whether to read the list again because a peer reports a different digest.
 
-        A difference counts when it stays; one peer that agrees does not end it, since most may
-        have missed the same change.
+        Only a lasting difference counts. A single peer that agrees does not end it, since most
+        peers may have missed the same change.
         """
-        return self._is_due(digest != self.version, now)
+        return self._reread_is_due(digest != self.version, now)
 
-    def _is_due(self, apart: bool, now: Millis) -> bool:
-        if not apart:
-            if self._since is not None and now - self._since > 2 * self._change_time:
-                self._since = None
+    def _reread_is_due(self, is_different: bool, now: Millis) -> bool:
+        if not is_different:
+            if (
+                self._differs_since is not None
+                and now - self._differs_since > 2 * self._propagation_time
+            ):
+                self._differs_since = None
             return False
-        if self._since is None:
-            self._since = now
-        if now - self._since < self._change_time or now - self._read < self._read_again:
+        if self._differs_since is None:
+            self._differs_since = now
+        if (
+            now - self._differs_since < self._propagation_time
+            or now - self._last_reread_at < self._reread_interval
+        ):
             return False
-        self._since = None
-        self._read = now
+        self._differs_since = None
+        self._last_reread_at = now
         return True
