--- a/packages/core/src/carobspool_core/direct/_watch_duty.py
+++ b/packages/core/src/carobspool_core/direct/_watch_duty.py
@@ -1,9 +1,10 @@
-"""Which entries follow the store on behalf of all.
+"""Which entries watch the store on behalf of all entries.
 
-Load pattern: each change of a registration ends the watches of all who follow it, and each of them
-asks again. With dozens of entries, rolling releases of servers and outages of the store, that is
-most of all calls to it. A few entries follow the store, and the others take from them what has
-changed, within the time of a hint and a call between entries. Small fleets follow it all.
+Load pattern: each change of a registration completes the watches of all entries, and each entry
+opens a new one. With dozens of entries, rolling releases of servers and outages of the store, these
+are most of the calls to the store. Therefore only a few entries watch the store, and the others
+fetch changes from them, within the time of a hint and a call between entries. In a small fleet
+every entry watches the store.
 """
 
 from __future__ import annotations
@@ -15,17 +16,17 @@
 from carobspool_core._rendezvous import first
 
 WATCHERS = 5
-"""Entries that follow the store. They may be lost, cut off or turned away, several at a time; the
-next ones take their place once that is known."""
-_DUTY = "watch"
+"""Number of entries that watch the store. Several of them may crash, be partitioned or be refused
+by the store at a time; other entries replace them once that is known."""
+_RENDEZVOUS_KEY = "watch"
 
 
 class DutyCandidate(Struct, frozen=True, kw_only=True):
-    """An entry, as one that could follow the store.
+    """An entry that may watch the store.
 
     Attributes:
-        name: Its name.
-        store_ok: Whether the store answered when it last asked.
+        name: Name of the entry.
+        store_ok: Whether the store answered the last call of the entry.
     """
 
     name: str
@@ -33,15 +34,15 @@
 
 
 def has_watch_duty(own: DutyCandidate, others: Iterable[DutyCandidate]) -> bool:
-    """Return whether an entry follows the store.
+    """Return whether an entry watches the store.
 
     Args:
-        own: The entry that asks.
-        others: Those that live and do not leave.
+        own: The entry in question.
+        others: The other entries that are live and not shutting down.
     """
     candidates = [own, *others]
-    # While the store answers nobody, some have to find out when it does.
-    reaching = [each.name for each in candidates if each.store_ok] or [
+    # While the store answers no entry, some entries must keep asking to notice its return.
+    eligible = [each.name for each in candidates if each.store_ok] or [
         each.name for each in candidates
     ]
-    return own.name in first(_DUTY, reaching, WATCHERS)
+    return own.name in first(_RENDEZVOUS_KEY, eligible, WATCHERS)
