--- a/packages/core/src/carobspool_core/direct/_placement.py
+++ b/packages/core/src/carobspool_core/direct/_placement.py
@@ -1,12 +1,13 @@
-"""Choice of an upstream for a request, and of the batch runs that give way to it.
+"""Placement of requests on upstreams, and preemption of batch runs by online requests.
 
-Load pattern: short bursts of online requests at nearly twice the fleet's average, over batch work
-that fills what is free. Engines admit in order of arrival and know no priorities, so an online
-request behind eight batch items waits for one of them to end. Hence batch items fill upstreams only
-up to a reserve, and an online request that finds every place taken has a batch item cancelled,
-which later resumes at its next event.
+Load pattern: short bursts of online requests at nearly twice the fleet's average, on top of batch
+work that fills the free slots. Engines admit requests in order of arrival and have no priorities,
+so an online request behind eight batch items waits for one of them to end. Batch items therefore
+leave a reserve of slots free. An online request that finds no free slot causes the cancellation of
+a batch item, which later resumes after its last event.
 
-Each entry sees its own requests at once and those of the others by hints some 50 ms old.
+An entry knows its own requests at once, and the requests of other entries from hints that are some
+50 ms old.
 """
 
 from __future__ import annotations
@@ -21,29 +22,30 @@
 from carobspool_core.direct._upstreams import Upstream
 
 BATCH_RESERVE = 2
-"""Slots of each upstream that batch items leave free while there is time, so that an online request
-finds one without waiting for a cancelled batch item to leave its slot (a network round trip and one
-engine step), and few runs are cut. They are lost to batch work: a delayed item takes one of them,
-an urgent one all. Should an online request come then, it waits for the cancellation, which costs it
-far less than the item would lose."""
-_TAKEN_OF_RESERVE = {
+"""Slots of each upstream that batch items leave free unless they run out of time. An online request
+then finds a slot without waiting for a cancelled batch item to leave its slot (a network round trip
+and one engine step), and few runs are cancelled. Batch work loses these slots, so a delayed item
+may use one of them and an urgent item all. An online request that arrives then waits for the
+cancellation, which costs the request far less than the item would lose."""
+_RESERVE_USED_BY_BATCH = {
     BatchUrgency.DELAYED: 1,
     BatchUrgency.RESCUED: BATCH_RESERVE,
     BatchUrgency.URGENT: BATCH_RESERVE,
 }
-SMALL_UPSTREAM = 6
-"""Slots below which one is enough in reserve; two of four would halve the room for batch items."""
+FULL_RESERVE_MIN_SLOTS = 6
+"""Smaller upstreams reserve one slot only; two of four would halve the slots for batch items."""
 SAMPLED = 5
-"""Upstreams drawn at random among which the least loaded one is chosen. All entries see nearly the
-same loads, 50 ms old; choosing the least loaded of all would send everybody to the same upstream
-in that time."""
+"""Size of the random sample from which the least loaded upstream is chosen. All entries see nearly
+the same loads, 50 ms old. If each entry chose the least loaded of all upstreams, all entries would
+choose the same upstream during that time."""
 FULL_PENALTY = 0.25
-"""Added when no slot is free: another upstream is better although more online requests run there.
-"""
+"""Score added if no slot is free: an upstream with a free slot is better even if it runs more
+online requests."""
 SUSPECT_PENALTY = 100.0
-"""Larger than any load in slots: a suspect is chosen only when all the others are suspects too."""
+"""Exceeds every load score, so that a suspect is chosen only if all candidates are suspects."""
 OTHER_DOMAIN_PENALTY = 0.05
-"""Breaks ties in favour of the same failure domain; far below one slot, so it costs no wait."""
+"""Breaks ties in favour of the same failure domain; far below the score of one slot, so that no
+request waits for it."""
 _JITTER = 0.01
 _draw = random.Random()
 
@@ -57,40 +59,42 @@
     suspects: frozenset[str] = frozenset(),
     draw: random.Random | None = None,
 ) -> Upstream | None:
-    """Return the upstream for an online request, ``None`` when every one is overfull.
+    """Return the upstream for an online request, ``None`` if the queues of all upstreams are full.
 
-    The least loaded of a few drawn at random; all are looked at when those are overfull.
+    Chooses the least loaded upstream of a small random sample, or of all upstreams if the queues of
+    the sample are full.
 
-    Batch load counts only a little: it gives way. It still counts, since a cancelled item costs
-    a second reading of its prompt.
+    Batch load has a low weight, since online requests preempt it. The weight is not 0, since a
+    cancelled item needs its prompt processed again.
 
     Args:
         upstreams: Candidates.
-        loads: What is known to be in flight, by identity.
-        failure_domain: Where the request is now.
-        queue: How many online requests may wait at an upstream beyond its slots.
+        loads: Known requests in flight, by identity of the upstream.
+        failure_domain: Failure domain in which the request is now.
+        queue: Returns how many online requests may wait at an upstream beyond its slots.
         suspects: Identities of upstreams that seem to have stopped.
-        draw: Breaks ties.
+        draw: Random numbers for the sample and for ties.
     """
     draw = draw or _draw
-    sampled = _draw_sound(upstreams, suspects, draw)
+    sampled = _sample_healthy(upstreams, suspects, draw)
     if sampled:
-        found = _least_loaded(sampled, loads, failure_domain, queue, suspects, draw)
-        if found is not None:
-            return found
+        chosen = _least_loaded(sampled, loads, failure_domain, queue, suspects, draw)
+        if chosen is not None:
+            return chosen
     return _least_loaded(upstreams, loads, failure_domain, queue, suspects, draw)
 
 
-def _draw_sound(
+def _sample_healthy(
     upstreams: Sequence[Upstream], suspects: frozenset[str], draw: random.Random
 ) -> Sequence[Upstream]:
-    """Return `SAMPLED` upstreams that are no suspects, none if there are no more than that."""
+    """Return `SAMPLED` random upstreams that are not suspects, none if there are not more."""
     if len(upstreams) <= SAMPLED:
         return ()
-    # However many upstreams there are, only as many are looked at as could be suspects.
-    drawn = draw.sample(upstreams, min(len(upstreams), SAMPLED + 1 + len(suspects)))
-    sound = [each for each in drawn if each.identity not in suspects]
-    return sound[:SAMPLED] if len(sound) > SAMPLED else ()
+    # The sample is large enough without the suspects, and its size is independent of the number
+    # of upstreams.
+    sample = draw.sample(upstreams, min(len(upstreams), SAMPLED + 1 + len(suspects)))
+    healthy = [candidate for candidate in sample if candidate.identity not in suspects]
+    return healthy[:SAMPLED] if len(healthy) > SAMPLED else ()
 
 
 def _least_loaded(
@@ -130,7 +134,7 @@
     suspects: frozenset[str] = frozenset(),
     draw: random.Random | None = None,
 ) -> Upstream | None:
-    """Return the upstream with most free places for a batch item, ``None`` when there is none."""
+    """Return the upstream with the largest share of free slots for a batch item, if any."""
     draw = draw or _draw
     best: Upstream | None = None
     best_score = float("inf")
@@ -138,7 +142,7 @@
         if upstream.identity in suspects:
             continue
         load = loads.get(upstream.identity, NO_LOAD)
-        free = _free_for_batch(upstream, load, urgency)
+        free = _free_batch_slots(upstream, load, urgency)
         if free <= 0:
             continue
         score = -free / upstream.slots + draw.random() * _JITTER
@@ -155,26 +159,26 @@
     urgency: BatchUrgency,
     suspects: frozenset[str] = frozenset(),
 ) -> int:
-    """Return how many batch items of one urgency could start now."""
+    """Return the number of slots that batch items of one urgency could use now."""
     room = 0
     for upstream in upstreams:
         if upstream.identity not in suspects:
             load = loads.get(upstream.identity, NO_LOAD)
-            room += max(0, _free_for_batch(upstream, load, urgency))
+            room += max(0, _free_batch_slots(upstream, load, urgency))
     return room
 
 
-def _free_for_batch(upstream: Upstream, load: Load, urgency: BatchUrgency) -> int:
+def _free_batch_slots(upstream: Upstream, load: Load, urgency: BatchUrgency) -> int:
     return upstream.slots - _reserve(upstream.slots, urgency) - load.total
 
 
 def _reserve(slots: int, urgency: BatchUrgency) -> int:
-    reserve = BATCH_RESERVE if slots >= SMALL_UPSTREAM else min(1, slots - 1)
-    return max(0, reserve - _TAKEN_OF_RESERVE.get(urgency, 0))
+    reserve = BATCH_RESERVE if slots >= FULL_RESERVE_MIN_SLOTS else min(1, slots - 1)
+    return max(0, reserve - _RESERVE_USED_BY_BATCH.get(urgency, 0))
 
 
 def excess_of_batch(upstream: Upstream, load: Load) -> int:
-    """Return how many batch runs at an upstream stand in the way of online requests."""
+    """Return how many batch runs at an upstream block online requests."""
     if load.online == 0:
         return 0
     return max(0, min(load.total - upstream.slots, load.batch))
@@ -183,23 +187,24 @@
 def share_of_excess(
     upstream: Upstream, excess: int, batch_of_entries: Mapping[str, int], entry: str
 ) -> int:
-    """Return how many of its batch runs one entry cancels, of the excess at an upstream.
+    """Return how many of its batch runs at an upstream an entry cancels.
 
-    Each entry decides alone. In an order that all of them know, drawn anew for each upstream, the
-    first ones cancel all that they run there until the excess is met. Shared out in proportion and
-    rounded up, every entry with a run there would cancel one where one is needed in all.
+    Each entry decides without communication. All entries know the same order of entries, a hash
+    order that differs for each upstream. The first entries in this order cancel all their runs
+    until the excess is met. With proportional shares, rounded up, every entry with a run at the
+    upstream would cancel one even if a single cancellation were enough.
 
     Args:
         upstream: The upstream.
-        excess: How many runs are too many.
-        batch_of_entries: Batch runs there by entry, by the last hints.
+        excess: Number of batch runs to cancel in total.
+        batch_of_entries: Number of batch runs at the upstream by entry, from the last hints.
         entry: The entry that decides.
     """
     order = sorted(
-        batch_of_entries, key=lambda each: xxh3_64_intdigest(f"{upstream.identity} {each}".encode())
+        batch_of_entries, key=lambda name: xxh3_64_intdigest(f"{upstream.identity} {name}".encode())
     )
-    for each in order:
-        if each == entry:
+    for name in order:
+        if name == entry:
             return min(excess, batch_of_entries[entry])
-        excess -= min(excess, batch_of_entries[each])
+        excess -= min(excess, batch_of_entries[name])
     return 0
