--- a/packages/core/tests/test_direct_queueing.py
+++ b/packages/core/tests/test_direct_queueing.py
@@ -1,4 +1,5 @@
-"""Queues, refusals, returns and requests that a leaving entry takes. No network, no clock."""
+"""Queue limits, refusals, retry delays, and requests accepted during a shutdown. No network or
+clock."""
 
 from __future__ import annotations
 
@@ -25,10 +26,10 @@
     returns: int = 0
 
 
-def _play_overload(fresh_queue: int, returned_queue: int) -> tuple[int, int, int]:
-    """Play 20 s at two engines of 8 slots, 900 ms a request: room for 17.8 a second, of 27 that
-    come. Refused callers return once. Return how many were on time (300 ms to the start, less
-    50 ms for the first token), late, and refused."""
+def _simulate_overload(fresh_queue: int, returned_queue: int) -> tuple[int, int, int]:
+    """Simulate 20 s of 27 requests a second at two engines of 8 slots, which serve 17.8 requests of
+    900 ms a second. Refused callers retry once. Return how many requests were on time (300 ms to
+    the start, less 50 ms for the first token), late, and refused."""
     draw = random.Random(7)
     pending = [(draw.uniform(0.0, 20_000.0), _Caller(0.0)) for _ in range(540)]
     for at, caller in pending:
@@ -50,11 +51,11 @@
                 refused += 1
                 continue
             caller.returns += 1
-            back = now + return_after(draw.random(), 5_000.0)
-            heapq.heappush(heap, (back, number, caller))
+            retry_at = now + return_after(draw.random(), 5_000.0)
+            heapq.heappush(heap, (retry_at, number, caller))
             continue
-        place = engine.index(min(engine))
-        engine[place] = starts[0] + 900.0
+        slot_index = engine.index(min(engine))
+        engine[slot_index] = starts[0] + 900.0
         if starts[0] - now <= 250.0:
             on_time += 1
         else:
@@ -62,21 +63,21 @@
     return on_time, late, refused
 
 
-def test_a_short_queue_serves_more_callers_on_time_in_overload() -> None:
-    """Half as much again as two engines can do. With a queue of six nearly everybody is late; with
-    the queue that the target allows most of those served are on time, and hardly fewer are served
-    at all."""
+def test_short_queue_serves_more_requests_on_time_under_overload() -> None:
+    """The load exceeds the capacity of two engines by half. With a queue of six nearly all requests
+    are late. With the queue that the target latency allows, most of the served requests are on
+    time, and hardly fewer requests are served."""
     new = queue_limit(slots=8, mean_duration=900.0, target_latency=300.0, returned=False)
-    back = queue_limit(slots=8, mean_duration=900.0, target_latency=300.0, returned=True)
-    short_on_time, short_late, _ = _play_overload(new, back)
-    long_on_time, long_late, _ = _play_overload(6, 6)
+    retried = queue_limit(slots=8, mean_duration=900.0, target_latency=300.0, returned=True)
+    short_on_time, short_late, _ = _simulate_overload(new, retried)
+    long_on_time, long_late, _ = _simulate_overload(6, 6)
     assert short_on_time > 2 * long_on_time
     assert short_on_time + short_late > 0.93 * (long_on_time + long_late)
 
 
-def test_the_queue_follows_how_long_requests_run() -> None:
-    """Where a slot takes longer to come free than the target allows, whoever queues is late and
-    makes those late that come next: nobody new waits, and one of those that were refused before."""
+def test_queue_limit_depends_on_the_mean_duration() -> None:
+    """If a slot takes longer to become free than the target allows, a queued request is late and
+    delays the next ones. No new request may then wait, and one retried request may."""
     plain = queue_limit(slots=6, mean_duration=25.0, target_latency=125.0, returned=False)
     engine = queue_limit(slots=8, mean_duration=900.0, target_latency=300.0, returned=False)
     assert plain > 10 > engine >= 1
@@ -86,12 +87,12 @@
     assert queue_limit(slots=1, mean_duration=1e6, target_latency=1.0, returned=True) == 1
 
 
-def test_a_caller_that_came_back_is_known_by_its_deadline() -> None:
+def test_retry_is_recognised_by_its_deadline() -> None:
     assert not has_returned(deadline=5_000.0, timeout=5_000.0)
     assert has_returned(deadline=4_500.0, timeout=5_000.0)
 
 
-def test_returns_are_spread_and_never_later_than_callers_wait() -> None:
+def test_retry_delays_are_spread_and_accepted_by_callers() -> None:
     times = [return_after(step / 10.0, 5_000.0) for step in range(11)]
     assert times == sorted(times)
     assert (times[0], times[-1]) == (300.0, 1_500.0)
@@ -99,7 +100,7 @@
 
 
 @pytest.mark.parametrize(
-    ("time_left", "mean", "taken"),
+    ("time_left", "mean", "accepted"),
     [
         (None, 5_000.0, True),
         (2_500.0, 800.0, True),
@@ -109,14 +110,14 @@
         (-10.0, 0.0, False),
     ],
 )
-def test_a_leaving_entry_takes_what_it_can_finish(
-    time_left: float | None, mean: float, taken: bool
+def test_entry_that_shuts_down_accepts_requests_it_can_finish(
+    time_left: float | None, mean: float, accepted: bool
 ) -> None:
-    assert has_time_to_serve(time_left, mean) is taken
+    assert has_time_to_serve(time_left, mean) is accepted
 
 
 @pytest.mark.parametrize(
-    ("heard", "mean", "found"),
+    ("heard", "mean", "expected"),
     [
         (0.0, 700.0, 1_900.0),
         (1_500.0, 700.0, 1_900.0),
@@ -125,19 +126,20 @@
         (0.0, 2_200.0, 1_900.0),
     ],
 )
-def test_a_stream_waits_for_its_slot_at_an_upstream_that_serves_others(
-    heard: float, mean: float, found: float
+def test_stream_waits_for_a_slot_at_an_upstream_that_serves_others(
+    heard: float, mean: float, expected: float
 ) -> None:
-    """Sent at 1.0 s to engines whose streams take 0.7 or 2.2 s. One that says nothing is given up
-    after 0.9 s. One that is slow and full sends events of the others; given up by the same clock,
-    streams left its queue for the end of another one and ran twice."""
+    """The stream is sent at 1.0 s to engines whose streams take 0.7 or 2.2 s. An engine that sends
+    nothing is given up after 0.9 s. A slow and full engine still sends events of other streams.
+    Given up after the same time, streams left its queue for the end of another queue and ran
+    twice."""
     given_up = given_up_at(started=1_000.0, heard=heard, silence=900.0, mean_duration=mean)
-    assert given_up == found
+    assert given_up == expected
 
 
-def test_callers_of_a_store_that_is_away_try_for_most_of_their_time() -> None:
-    """The store is away for 3 s and callers try five times in 4.15 s. Told to come back after 0.8 s
-    at most, many had spent their tries 0.1 s before it was back."""
+def test_retries_during_a_store_outage_cover_most_of_the_remaining_time() -> None:
+    """The store is unavailable for 3 s, and callers try five times in 4.15 s. With retry delays of
+    at most 0.8 s many callers had used up their tries 0.1 s before the store was back."""
     draw = random.Random(7)
     for _ in range(100):
         now = 0.0
@@ -146,8 +148,8 @@
         assert 3_000.0 < now < 4_000.0
 
 
-def test_a_request_that_cannot_end_in_time_is_refused() -> None:
-    """A caller comes back with 1.0 s of its time left, to engines whose streams take 2.2 s. It
-    would hold a slot for that second and be cut off."""
+def test_request_that_cannot_end_in_time_is_detected() -> None:
+    """A caller retries with 1.0 s of its time left, at engines whose streams take 2.2 s. The
+    request would occupy a slot for that second and be cut off."""
     assert not can_end(time_left=1_000.0, mean_duration=2_200.0)
     assert can_end(time_left=1_500.0, mean_duration=2_200.0)
