--- a/packages/core/src/carobspool_core/direct/_upstreams.py
+++ b/packages/core/src/carobspool_core/direct/_upstreams.py
@@ -1,4 +1,4 @@
-"""The upstreams of every service, as one entry knows them from the platform's list."""
+"""The upstreams of all services that an entry knows from the registrations in the store."""
 
 from __future__ import annotations
 
@@ -12,34 +12,35 @@
 from carobspool_core._clock import Millis
 from carobspool_core.direct._upstream_identity import UNKNOWN_START, identity_of, key_of
 
-KEPT_SHARE = 0.5
-"""A vanished upstream counts as lapsed only when less than this share of its service is left. An
-outage takes most registrations of a service at once; a single one that is missing when a lost
-connection to the store is back has really left."""
+OUTAGE_REMAINING_SHARE = 0.5
+"""A removed upstream counts as lapsed only if less than this share of its service is left. An
+outage of the store removes most registrations of a service at once. A single registration that is
+missing after a lost connection to the store was restored belongs to an upstream that has really
+left."""
 LAPSE_GRACE: Millis = 1_900.0
-"""How long an upstream that vanished around an outage of the store is still used.
+"""How long an upstream whose registration lapsed in an outage of the store is still used.
 
-Registrations expire while the store is away and are written again within about two seconds of its
-return. Dropping them at once would leave a healthy service without upstreams for that time; using
-them for longer would send requests to upstreams that have really gone.
+Registrations expire during the outage and are written again within about two seconds of its end.
+Dropping the upstreams at once would leave a healthy service without upstreams for that time. Using
+them for longer would send requests to upstreams that are really gone.
 """
-STARTS_REMEMBERED = 4_096
-"""Ids whose latest start is remembered after they are gone; far more than a fleet has at once."""
+MAX_REMEMBERED_STARTS = 4_096
+"""Ids whose latest start is remembered after their removal; far more than a fleet has at once."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Upstream:
-    """One start of a registered server of a service.
+    """A registered server of a service, since one of its starts.
 
     Attributes:
-        instance: Id of the server; it may start again under it.
-        service: The service it belongs to.
-        address: IP number and port; may later belong to a server of another service.
-        failure_domain: Where it runs.
-        slots: Requests that it runs at once.
-        ready: ``False`` when it is leaving and wants nothing new.
-        started: Unix milliseconds of its start, by its own clock; 0 when it does not tell.
-        identity: Id and start, the key of all that is believed of it.
+        instance: Id of the server, which may restart under the same id.
+        service: Service to which the server belongs.
+        address: IP address and port; may later belong to a server of another service.
+        failure_domain: Failure domain in which the server runs.
+        slots: Number of requests that the server runs at once.
+        ready: ``False`` if the server is draining and accepts no new requests.
+        started: Start of the server in Unix milliseconds, by its own clock; 0 if unknown.
+        identity: Id and start of the server; the key of all state about it.
     """
 
     instance: str
@@ -52,7 +53,7 @@
     identity: str = field(init=False)
 
     def __post_init__(self) -> None:
-        # Built once: a choice of an upstream looks some hundred of them up under its lock.
+        # Computed once, since a placement reads some hundred identities while it holds a lock.
         object.__setattr__(self, "identity", identity_of(self.instance, self.started))
 
     def replaces(self, other: Upstream) -> bool:
@@ -61,11 +62,11 @@
 
 
 class UpstreamsView(Struct, frozen=True, kw_only=True):
-    """The upstreams as one entry knows them, for another one.
+    """A snapshot of the upstreams that one entry knows, for another entry.
 
     Attributes:
-        listed: Every listed upstream.
-        lapsed: Those that have lapsed and are still used, with the time for which they are.
+        listed: All listed upstreams.
+        lapsed: Lapsed upstreams that are still used, with the remaining time of their use.
     """
 
     listed: Sequence[Upstream]
@@ -73,17 +74,17 @@
 
 
 class UpstreamList:
-    """The registered upstreams, with a short memory for those that lapsed during an outage."""
+    """The registered upstreams, and for a short time those that lapsed in a store outage."""
 
     __slots__ = (
-        "_before",
         "_grace_until",
-        "_keys",
+        "_key_cache",
         "_lapsed",
-        "_largest",
+        "_largest_service_size",
         "_latest",
         "_listed",
-        "_ready",
+        "_ready_before_outage",
+        "_ready_cache",
     )
 
     def __init__(self) -> None:
@@ -91,30 +92,30 @@
         self._lapsed: dict[str, tuple[Upstream, Millis]] = {}
         self._latest: dict[str, Upstream] = {}
         self._grace_until: Millis = 0.0
-        self._before: Counter[str] = Counter()
-        # Asked for by each request and each hint, and changed only with the list.
-        self._ready: dict[str, Sequence[Upstream]] = {}
-        self._keys: Mapping[int, str] | None = None
-        self._largest: int | None = None
+        self._ready_before_outage: Counter[str] = Counter()
+        # Caches: read by each request and each hint, and invalidated only by changes of the list.
+        self._ready_cache: dict[str, Sequence[Upstream]] = {}
+        self._key_cache: Mapping[int, str] | None = None
+        self._largest_service_size: int | None = None
 
     def regained(self, now: Millis) -> None:
-        """Note that the store answers again after it could not be read."""
+        """Record that the store can be read again after failed reads."""
         self._grace_until = now + LAPSE_GRACE
-        self._before = self._ready_by_service()
+        self._ready_before_outage = self._count_ready_by_service()
 
     def replace(
         self, upstreams: Iterable[Upstream], now: Millis, *, unusable: Iterable[str] = ()
     ) -> list[Upstream]:
-        """Take a complete listing; return the upstreams in it that have started again.
+        """Replace the list by a complete listing; return the upstreams that have restarted.
 
         Args:
-            upstreams: Those whose registrations can be used.
-            now: The time.
-            unusable: Instances whose registrations are there and cannot be used.
+            upstreams: Upstreams with valid registrations.
+            now: Current time.
+            unusable: Instances with registrations that exist but are invalid.
         """
         for instance in unusable:
             self.refuse(instance)
-        self._changed()
+        self._clear_caches()
         before = self._listed
         self._listed = {}
         restarted = []
@@ -124,20 +125,20 @@
                 if known is not None:
                     self._listed[known.instance] = known
                 continue
-            if self._take(upstream):
+            if self._list_upstream(upstream):
                 restarted.append(upstream)
         for instance, upstream in before.items():
             if instance not in self._listed:
-                self._vanished(upstream, now)
+                self._keep_if_lapsed(upstream, now)
         return restarted
 
     def view(self, now: Millis) -> UpstreamsView:
-        """Return what is known, for another entry."""
+        """Return a snapshot of the known upstreams for another entry."""
         lapsed = [(each, until - now) for each, until in self._lapsed.values() if until > now]
         return UpstreamsView(listed=self.listed(), lapsed=lapsed)
 
     def adopt(self, view: UpstreamsView, now: Millis) -> list[Upstream]:
-        """Take what another entry knows; return the upstreams in it that have started again."""
+        """Apply the snapshot of another entry; return the upstreams that have restarted."""
         restarted = self.replace(view.listed, now)
         for upstream, left in view.lapsed:
             if upstream.instance not in self._listed:
@@ -145,33 +146,35 @@
         return restarted
 
     def put(self, upstream: Upstream) -> list[Upstream]:
-        """Take a new or changed registration; return it if the upstream has started again."""
+        """Add or update an upstream; return it in a list if it has restarted."""
         if self._is_outdated(upstream, self._listed.get(upstream.instance)):
             return []
-        return [upstream] if self._take(upstream) else []
+        return [upstream] if self._list_upstream(upstream) else []
 
     def refuse(self, instance: str) -> None:
-        """Take a registration that cannot be used: it names no upstream, however good it was.
+        """Drop the upstream of an invalid registration, even if its last registration was valid.
 
-        It has not lapsed, since it is there, so an outage of the store keeps nothing of it either.
+        The registration exists, so it has not lapsed, and the upstream is not kept in use after an
+        outage of the store either.
         """
-        self._changed()
+        self._clear_caches()
         self._listed.pop(instance, None)
         self._lapsed.pop(instance, None)
 
     def remove(self, instance: str, now: Millis) -> None:
-        """Take the removal of a registration."""
-        self._changed()
+        """Remove the upstream of a deleted registration."""
+        self._clear_caches()
         upstream = self._listed.pop(instance, None)
         if upstream is not None:
-            self._vanished(upstream, now)
+            self._keep_if_lapsed(upstream, now)
 
     def _is_outdated(self, upstream: Upstream, listed: Upstream | None) -> bool:
-        """Whether a registration speaks of an earlier start than one that is known.
+        """Whether a registration is of an earlier start than the latest known start.
 
-        Listings and watches can cross, and an earlier start must not come back with what is not
-        answered there. A server that tells no start is refused only beside one that does: its
-        software may have been replaced by an older one, and it would be lost for good.
+        Listings and watch events can arrive out of order, and an earlier start, which no longer
+        answers requests, must not be listed again. A registration without a start is ignored only
+        while one with a start is listed. Its software may have been replaced by an older version,
+        and the server would otherwise never be used again.
         """
         if listed is not None and listed.replaces(upstream):
             return True
@@ -180,41 +183,41 @@
         latest = self._latest.get(upstream.instance)
         return latest is not None and latest.replaces(upstream)
 
-    def _take(self, upstream: Upstream) -> bool:
-        """List an upstream; return whether an earlier start of it was known."""
-        self._changed()
+    def _list_upstream(self, upstream: Upstream) -> bool:
+        """Add an upstream to the list; return whether an earlier start of it was known."""
+        self._clear_caches()
         self._listed[upstream.instance] = upstream
         self._lapsed.pop(upstream.instance, None)
         earlier = self._latest.pop(upstream.instance, upstream)
         self._latest[upstream.instance] = earlier if earlier.replaces(upstream) else upstream
-        if len(self._latest) > STARTS_REMEMBERED:
+        if len(self._latest) > MAX_REMEMBERED_STARTS:
             del self._latest[next(iter(self._latest))]
         return upstream.replaces(earlier)
 
-    def _changed(self) -> None:
-        self._ready.clear()
-        self._keys = None
-        self._largest = None
+    def _clear_caches(self) -> None:
+        self._ready_cache.clear()
+        self._key_cache = None
+        self._largest_service_size = None
 
-    def _vanished(self, upstream: Upstream, now: Millis) -> None:
-        """Keep an upstream that has lapsed with most of its service around an outage."""
+    def _keep_if_lapsed(self, upstream: Upstream, now: Millis) -> None:
+        """Keep a removed upstream in use if most of its service lapsed in a store outage."""
         if not upstream.ready or now >= self._grace_until:
             return
-        left = self._ready_by_service()[upstream.service]
-        if left < self._before[upstream.service] * KEPT_SHARE:
+        left = self._count_ready_by_service()[upstream.service]
+        if left < self._ready_before_outage[upstream.service] * OUTAGE_REMAINING_SHARE:
             self._lapsed[upstream.instance] = (upstream, self._grace_until)
 
-    def _ready_by_service(self) -> Counter[str]:
+    def _count_ready_by_service(self) -> Counter[str]:
         return Counter(each.service for each in self._listed.values() if each.ready)
 
     def usable(self, service: str, now: Millis) -> Sequence[Upstream]:
-        """Return the upstreams of a service that may receive new requests."""
-        ready = self._ready.get(service)
+        """Return the upstreams of a service that may receive new requests, lapsed ones included."""
+        ready = self._ready_cache.get(service)
         if ready is None:
             ready = [
                 each for each in self._listed.values() if each.service == service and each.ready
             ]
-            self._ready[service] = ready
+            self._ready_cache[service] = ready
         if not self._lapsed:
             return ready
         for instance, (_, until) in list(self._lapsed.items()):
@@ -224,23 +227,23 @@
         return [*ready, *lapsed]
 
     def largest_service(self) -> int:
-        """Return how many upstreams the largest service has, leaving ones left out."""
-        if self._largest is None:
-            self._largest = max(self._ready_by_service().values(), default=0)
-        return self._largest
+        """Return the number of ready upstreams of the largest service."""
+        if self._largest_service_size is None:
+            self._largest_service_size = max(self._count_ready_by_service().values(), default=0)
+        return self._largest_service_size
 
     def knows(self, instance: str) -> bool:
-        """Return whether an upstream is listed, or has lapsed a moment ago."""
+        """Return whether an upstream is listed or lapsed recently."""
         return instance in self._listed or instance in self._lapsed
 
     def identities(self) -> set[str]:
-        """Return the identities of all upstreams known, leaving ones included."""
+        """Return the identities of all known upstreams, draining ones included."""
         found = {each.identity for each in self._listed.values()}
         return found.union(each.identity for each, _ in self._lapsed.values())
 
     def identities_by_key(self) -> Mapping[int, str]:
-        """Return the identities of all upstreams by their keys, without keys that two share."""
-        if self._keys is None:
+        """Return the identities of all known upstreams by key, without keys shared by several."""
+        if self._key_cache is None:
             found: dict[int, str] = {}
             shared = set()
             for identity in self.identities():
@@ -248,23 +251,24 @@
                 if key in found:
                     shared.add(key)
                 found[key] = identity
-            self._keys = {key: each for key, each in found.items() if key not in shared}
-        return self._keys
+            self._key_cache = {key: each for key, each in found.items() if key not in shared}
+        return self._key_cache
 
     def listed(self) -> list[Upstream]:
-        """Return every listed upstream."""
+        """Return all listed upstreams."""
         return list(self._listed.values())
 
     def digest(self) -> int:
-        """Return a number that differs when the listed upstreams or their readiness differ."""
+        """Return a digest of the listed upstreams and their readiness."""
         parts = sorted(f"{each.instance} {each.ready}" for each in self._listed.values())
         return xxh3_64_intdigest("\n".join(parts).encode())
 
     def digest_of_starts(self) -> int:
-        """Return a number that differs when the starts of listed upstreams differ.
+        """Return a digest of the identities of the listed upstreams, which include their starts.
 
-        Apart from `digest`, which processes of the version before compute without starts: they
-        would differ, and read the list again each second, for as long as both versions run.
+        Separate from `digest`, which processes of the previous version compute without starts. With
+        starts in it the digests of both versions would differ, and the processes would read the
+        list again each second for as long as both versions run.
         """
         identities = sorted(each.identity for each in self._listed.values())
         return xxh3_64_intdigest("\n".join(identities).encode())
--- a/packages/core/tests/test_direct_upstream_starts.py
+++ b/packages/core/tests/test_direct_upstream_starts.py
@@ -1,4 +1,4 @@
-"""Upstreams that start again under their id, as one entry learns of them in any order."""
+"""Upstreams that restart under the same id, reported to an entry in any order."""
 
 from __future__ import annotations
 
@@ -29,55 +29,56 @@
     )
 
 
-_news = st.lists(
+_updates = st.lists(
     st.tuples(st.sampled_from(["put", "replace", "remove"]), st.integers(1, 5)), max_size=12
 )
 
 
-@given(_news)
-def test_an_earlier_start_never_comes_back(news: list[tuple[str, int]]) -> None:
-    """Listings and watches tell of an upstream's starts in any order. Once a later start is known,
-    nothing is sent to an earlier one, also after the later one has gone; each later start is told
-    once, however often it is heard of."""
+@given(_updates)
+def test_earlier_start_is_never_listed_again(updates: list[tuple[str, int]]) -> None:
+    """Listings and watches report the starts of an upstream in any order. Once a later start is
+    known, nothing is sent to an earlier one, even after the later one is removed. Each restart is
+    returned once, however often it is reported."""
     known = UpstreamList()
     latest = 0
-    for now, (kind, started) in enumerate(news):
-        told: list[Upstream] = []
+    for now, (kind, started) in enumerate(updates):
+        restarted: list[Upstream] = []
         if kind == "put":
-            told = known.put(_upstream("x", started))
+            restarted = known.put(_upstream("x", started))
         elif kind == "replace":
-            told = known.replace([_upstream("x", started)], float(now))
+            restarted = known.replace([_upstream("x", started)], float(now))
         else:
             known.remove("x", float(now))
             continue
-        assert [each.started for each in told] == ([started] if 0 < latest < started else [])
+        assert [each.started for each in restarted] == ([started] if 0 < latest < started else [])
         latest = max(latest, started)
         assert all(each.started == latest for each in known.usable("engine", float(now)))
 
 
 @pytest.mark.parametrize("by_listing", [True, False])
-def test_a_start_that_is_told_replaces_one_that_is_not(by_listing: bool) -> None:
-    """A writer of the version before names no start. What it writes yields to any known start, and
-    does not replace one; when the known one has gone, the server is used again without a start."""
+def test_known_start_replaces_an_unknown_one(by_listing: bool) -> None:
+    """A server of the previous version registers without a start. Such a registration is replaced
+    by any known start and does not replace one. After the known start is removed, the server is
+    used again without a start."""
 
-    def take(started: int) -> list[Upstream]:
+    def register(started: int) -> list[Upstream]:
         upstream = _upstream("x", started)
         return known.replace([upstream], 0.0) if by_listing else known.put(upstream)
 
     known = UpstreamList()
-    assert take(0) == []
-    assert [each.started for each in take(7)] == [7]
-    assert take(0) == []
+    assert register(0) == []
+    assert [each.started for each in register(7)] == [7]
+    assert register(0) == []
     assert [each.started for each in known.usable("engine", 0.0)] == [7]
     known.remove("x", 0.0)
-    assert take(0) == []
+    assert register(0) == []
     assert [each.started for each in known.usable("engine", 0.0)] == [0]
-    assert take(6) == []
+    assert register(6) == []
 
 
-def test_a_start_that_follows_a_lapsed_one_replaces_it() -> None:
-    """The store was away, the registration lapsed with it, and the server has started again
-    meanwhile. Only its new start may be used."""
+def test_new_start_replaces_a_lapsed_one() -> None:
+    """The registration lapsed in an outage of the store, and the server has restarted meanwhile.
+    Only its new start may be used."""
     known = UpstreamList()
     known.replace([_upstream("x", 1), _upstream("y", 1)], now=0.0)
     known.regained(now=10_000.0)
@@ -88,9 +89,9 @@
     assert known.identities() == {"x/2", "y/1"}
 
 
-def test_a_missed_restart_shows_in_the_digest_of_starts_alone() -> None:
-    """The digest that entries of the version before also compute stays the same, so that entries of
-    two versions do not read the list again for as long as both run."""
+def test_missed_restart_changes_only_the_digest_of_starts() -> None:
+    """Entries of the previous version compute only the digest without starts. It must stay the
+    same, or entries of both versions would read the list again for as long as both run."""
     before, after = UpstreamList(), UpstreamList()
     before.put(_upstream("x", 1))
     after.put(_upstream("x", 2))
@@ -98,7 +99,7 @@
     assert before.digest_of_starts() != after.digest_of_starts()
 
 
-def test_failures_of_the_earlier_start_do_not_count_for_the_new_one() -> None:
+def test_failures_of_an_earlier_start_do_not_count_for_the_new_one() -> None:
     reports = FailureReports()
     earlier, now = identity_of("x", 1), identity_of("x", 2)
     reports.take("peer", {earlier: 0}, 0.0)
@@ -109,9 +110,9 @@
     assert reports.failing(50.0) == {earlier}
 
 
-def test_hints_carry_the_latest_start_of_each_upstream() -> None:
+def test_mappings_by_instance_hold_the_latest_start_of_each_upstream() -> None:
     values = {identity_of("x", 1): "old", identity_of("x", 2): "new", identity_of("y", 0): "bare"}
     starts = latest_starts(values)
-    told = by_instance(values, starts)
-    assert (starts, told) == ({"x": 2, "y": 0}, {"x": "new", "y": "bare"})
-    assert by_identity(told, starts) == {"x/2": "new", "y": "bare"}
+    values_by_id = by_instance(values, starts)
+    assert (starts, values_by_id) == ({"x": 2, "y": 0}, {"x": "new", "y": "bare"})
+    assert by_identity(values_by_id, starts) == {"x/2": "new", "y": "bare"}
--- a/packages/core/tests/test_direct_upstreams.py
+++ b/packages/core/tests/test_direct_upstreams.py
@@ -1,4 +1,4 @@
-"""The upstreams of an entry around registrations that cannot be used."""
+"""The list of upstreams: invalid registrations, store outages, caches and snapshots."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
     )
 
 
-def test_a_refused_registration_names_nobody_also_around_an_outage() -> None:
-    """The store was away, and most registrations have lapsed since. What lapsed is used for a short
-    time, but what is there and cannot be used is not."""
+def test_upstream_with_an_invalid_registration_is_not_used_after_an_outage() -> None:
+    """Most registrations lapsed in an outage of the store. Their upstreams are used for a short
+    time, but an upstream whose registration exists and is invalid is not."""
     upstreams = UpstreamList()
     upstreams.replace([_upstream(each) for each in "abc"], 0.0)
     upstreams.regained(0.0)
@@ -34,7 +34,7 @@
     assert {each.instance for each in upstreams.usable("s", 1.0)} == {"a", "c"}
 
 
-def test_a_service_that_nobody_names_is_never_asked_for() -> None:
+def test_upstreams_of_another_service_are_not_used() -> None:
     """Upstreams are found by the service of a route, so one of another service stays unused."""
     upstreams = UpstreamList()
     upstreams.put(_upstream("a"))
@@ -42,9 +42,9 @@
     assert upstreams.usable("another", 0.0) == []
 
 
-def test_two_upstreams_with_one_key_are_told_by_neither(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Load hints name upstreams by keys of four bytes. Loads of one that were taken for those of
-    another would keep it full, or free, for as long as both run."""
+def test_key_shared_by_two_upstreams_identifies_neither(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Load hints identify upstreams by four-byte keys. Loads attributed to the wrong upstream would
+    make it look full, or free, for as long as both upstreams run."""
     monkeypatch.setattr(_upstreams, "key_of", lambda identity: len(identity))
     upstreams = UpstreamList()
     for instance in ("a", "b", "cc"):
@@ -54,8 +54,9 @@
     assert upstreams.identities_by_key() == {1: "a", 2: "cc"}
 
 
-def test_what_is_usable_follows_each_change_of_the_list() -> None:
-    """The answer is kept between requests; a kept one would send requests to what has left."""
+def test_usable_upstreams_follow_each_change_of_the_list() -> None:
+    """The answer is cached between requests. A stale answer would send requests to upstreams that
+    have left."""
     upstreams = UpstreamList()
     upstreams.put(_upstream("a"))
     assert [each.instance for each in upstreams.usable("s", 0.0)] == ["a"]
@@ -69,9 +70,10 @@
     assert [each.instance for each in upstreams.usable("s", 0.0)] == ["c"]
 
 
-def test_what_lapsed_around_an_outage_is_taken_over_from_another_entry() -> None:
-    """Most registrations of a service lapsed while the store was away. An entry that learns of it
-    from another one must go on using them for as long as that one does, and no longer."""
+def test_lapsed_upstreams_are_adopted_from_another_entry() -> None:
+    """Most registrations of a service lapsed in an outage of the store. An entry that learns of it
+    from another entry must use the lapsed upstreams for as long as that entry does, and no
+    longer."""
     upstreams = UpstreamList()
     upstreams.replace([_upstream(each) for each in "abc"], 0.0)
     upstreams.regained(1_000.0)
@@ -79,13 +81,13 @@
     other = UpstreamList()
     other.replace([_upstream(each) for each in "abc"], 0.0)
     other.adopt(upstreams.view(1_600.0), 90_000.0)
-    left = LAPSE_GRACE - 600.0
+    lapsed_for = LAPSE_GRACE - 600.0
     assert {each.instance for each in other.usable("s", 90_000.0)} == {"a", "b", "c"}
-    assert {each.instance for each in other.usable("s", 89_999.0 + left)} == {"a", "b", "c"}
-    assert other.usable("s", 90_000.0 + left) == []
+    assert {each.instance for each in other.usable("s", 89_999.0 + lapsed_for)} == {"a", "b", "c"}
+    assert other.usable("s", 90_000.0 + lapsed_for) == []
 
 
-def test_an_earlier_start_that_another_entry_knows_does_not_come_back() -> None:
+def test_earlier_start_known_to_another_entry_is_not_listed_again() -> None:
     upstreams, other = UpstreamList(), UpstreamList()
     upstreams.put(replace(_upstream("a"), started=1))
     other.put(replace(_upstream("a"), started=2))
