--- a/packages/core/tests/test_direct_decisions.py
+++ b/packages/core/tests/test_direct_decisions.py
@@ -1,4 +1,7 @@
-"""Decisions of direct entries: routes, quota, lists, views, events. No network, no clock."""
+"""Decision logic of direct entries: routes, quota, upstream list, views and events.
+
+No network, no clock.
+"""
 
 from __future__ import annotations
 
@@ -43,7 +46,7 @@
     return Route(**(values | changes))  # type: ignore[arg-type]
 
 
-def test_longest_prefix_of_the_host_wins() -> None:
+def test_longest_matching_prefix_of_the_host_is_selected() -> None:
     config = Configuration(version=1, routes=(_route("/a/"), _route("/a/b/")))
     found = config.route_for("h", "/a/b/c")
     assert found is not None
@@ -63,7 +66,7 @@
     assert 0.07 < chosen.count("new") / len(chosen) < 0.13
 
 
-def test_only_what_may_run_twice_may_repeat() -> None:
+def test_only_idempotent_or_resumable_routes_may_repeat() -> None:
     assert _route("/a/").may_repeat
     assert not _route("/a/", kind=RouteKind.UNSAFE).may_repeat
     assert not _route("/a/", kind=RouteKind.STREAM).may_repeat
@@ -81,7 +84,7 @@
         (400, 501, 100, 1, False),
     ],
 )
-def test_quota_near_its_limit_is_shared(
+def test_remaining_quota_near_the_limit_is_shared(
     own: int, other: int, job: int, entries: int, fits: bool
 ) -> None:
     assert fits is fits_quota(
@@ -90,15 +93,16 @@
 
 
 def test_concurrent_acceptance_stays_within_a_tenth_over_the_quota() -> None:
-    """A burst of jobs at five entries between two hints: each counts only its own acceptance, the
-    others' as of the last hint. The sum stays below 110% of the limit."""
+    """A burst of jobs arrives at five entries between two hints. Each entry knows its own accepted
+    jobs, and those of the others as of the last hint. The sum must stay within 110% of the
+    limit."""
     limit, job = 1_000, 20
-    told = [0] * 5
+    reported = [0] * 5
     own = [0] * 5
     for _ in range(20):
         for _ in range(3):
             for entry in range(5):
-                other = sum(told) - told[entry]
+                other = sum(reported) - reported[entry]
                 if fits_quota(
                     limit=limit,
                     own_tokens=own[entry],
@@ -107,13 +111,13 @@
                     entries=5,
                 ):
                     own[entry] += job
-        told = list(own)
+        reported = list(own)
     assert limit * 0.8 <= sum(own) <= limit * 1.1
 
 
-def test_registrations_that_lapse_with_the_store_are_used_for_two_seconds() -> None:
-    """The store is away, its leases run out, and it returns with an empty list. Callers must not
-    see an empty service while the living servers register again."""
+def test_registrations_that_lapse_in_a_store_outage_are_used_for_two_seconds() -> None:
+    """All leases expire during an outage of the store, and the store returns with an empty list.
+    The service must keep its upstreams while the live servers register again."""
     known = UpstreamList()
     known.replace([_upstream("x"), _upstream("y")], now=0.0)
     known.regained(now=10_000.0)
@@ -125,12 +129,12 @@
 
 
 @pytest.mark.parametrize("by_listing", [True, False])
-def test_one_server_that_left_while_the_connection_to_the_store_was_lost_is_gone(
+def test_server_that_left_during_a_lost_store_connection_is_not_used(
     by_listing: bool,
 ) -> None:
-    """One entry's watch times out; the store was never away. What is missing afterwards has left:
-    it must not be kept like a registration that lapsed with the store, since it gets requests two
-    seconds after it said so then."""
+    """The watch of one entry times out, but the store was available all the time. A registration
+    that is missing afterwards belongs to a server that has left. Treated as lapsed, the server
+    would receive requests for two seconds after it announced that it leaves."""
     known = UpstreamList()
     known.replace([_upstream("x"), _upstream("y"), _upstream("z")], now=0.0)
     known.regained(now=10_000.0)
@@ -141,7 +145,7 @@
     assert {each.instance for each in known.usable("engine", 10_002.0)} == {"y", "z"}
 
 
-def test_a_service_that_lapses_one_by_one_is_not_left_empty() -> None:
+def test_service_whose_registrations_lapse_one_by_one_keeps_upstreams() -> None:
     known = UpstreamList()
     known.replace([_upstream("x"), _upstream("y"), _upstream("z")], now=0.0)
     known.regained(now=10_000.0)
@@ -151,7 +155,7 @@
     assert known.usable("engine", 10_000.0 + LAPSE_GRACE) == []
 
 
-def test_a_server_that_leaves_in_calm_gets_nothing_more() -> None:
+def test_server_that_leaves_without_a_store_outage_is_not_used() -> None:
     known = UpstreamList()
     known.replace([_upstream("x"), _upstream("y")], now=0.0)
     known.remove("x", now=5_000.0)
@@ -159,7 +163,7 @@
     assert known.usable("engine", 5_000.0) == []
 
 
-def test_a_draining_server_that_lapses_is_not_brought_back() -> None:
+def test_draining_server_is_not_used_after_its_registration_lapses() -> None:
     known = UpstreamList()
     known.replace([_upstream("x", ready=False)], now=0.0)
     known.regained(now=1_000.0)
@@ -167,9 +171,9 @@
     assert known.usable("engine", 1_001.0) == []
 
 
-def test_a_view_that_stays_behind_is_read_again_but_not_at_once_and_not_too_often() -> None:
-    """A watch hears nothing: another entry knows version 8, we know 4. A change under way differs
-    for some ms only and costs no call."""
+def test_view_that_stays_behind_is_reread_after_a_delay_and_at_a_limited_rate() -> None:
+    """A broken watch receives no events: this entry knows version 4, another entry version 8. A
+    change that is still propagating differs for a few ms only and causes no call."""
     view = SharedView()
     view.version = 4
     assert not view.is_behind(8, now=0.0)
@@ -180,7 +184,7 @@
     assert not view.is_behind(8, now=1_800.0)
 
 
-def test_one_peer_that_missed_the_same_does_not_hide_the_difference() -> None:
+def test_peer_that_missed_the_same_change_does_not_hide_the_difference() -> None:
     view = SharedView()
     view.version = 1
     due = []
@@ -191,7 +195,7 @@
     assert any(due)
 
 
-def test_events_are_cut_whole_whatever_the_pieces() -> None:
+def test_events_are_complete_for_any_chunk_size() -> None:
     text = b"id: 1\ndata: one\n\nid: 2\nweight-versions: 3\ndata: a\ndata: b\n\nid: 3\nda"
     for size in (1, 2, 7, len(text)):
         splitter = EventSplitter()
@@ -203,7 +207,7 @@
         assert splitter.incomplete
 
 
-def test_a_separator_inside_the_data_does_not_end_a_line() -> None:
+def test_unicode_line_separator_in_the_data_does_not_end_a_line() -> None:
     splitter = EventSplitter()
     (event,) = splitter.feed("id: 1\r\ndata: a\u2028b\x85c\r\n\r\n".encode())
     assert event.data == "a\u2028b\x85c"
