--- a/packages/core/src/carobspool_core/direct/_backlog.py
+++ b/packages/core/src/carobspool_core/direct/_backlog.py
@@ -1,14 +1,15 @@
-"""Which entry's batch items go first when there is less room than items that wait.
+"""Order of waiting batch items across entries when free slots are scarce.
 
 Load pattern: a burst of online requests has ended, or some engines are gone, and every entry has
-items waiting. Each sees the same free places, by hints some 50 ms old. Without an order among them
-all start items at once, more than there are places, and cut each other's runs; and items that are
-due late at one entry run before items that are due soon at another.
-
-So entries tell each other the turns of their waiting items. An entry starts an item only when there
-are more free places than items of other entries whose turn comes sooner. Items that can no longer
-be on time have a turn too, behind all others: under overload they are most of what waits, and every
-place that comes free would be taken by all entries at once.
+items waiting. All entries see the same free slots through hints that are some 50 ms old. Without a
+common order all entries start items at once, exceed the free slots and cancel each other's runs.
+Items with a late due time at one entry also run before items with an early due time at another.
+
+Entries therefore send each other the turns (sort keys, see `turn_of`) of their waiting items. An
+entry starts an item only if there are more free slots than items of other entries with a lower
+turn. Items that can no longer be on time also have turns, behind all others: under overload most
+waiting items are late, and without turns all entries would start one at each slot that becomes
+free.
 """
 
 from __future__ import annotations
@@ -20,22 +21,22 @@
 
 from carobspool_core._clock import Millis
 
-MAX_GROUPS = 16
-"""Groups of waiting items that a hint names; later ones are behind more items than there is room
-for."""
-TOLD_FOR: Millis = 700.0
-"""How long what another entry told counts; it tells twice a second at least."""
-LONGEST_HOLD: Millis = 300.0
-"""How long room is left to others. They know of it after a hint and start within 100 ms,
-unless they cannot reach the upstreams; then nobody would use the room."""
+MAX_GROUPS_PER_HINT = 16
+"""Groups of waiting items in one hint; groups beyond them wait behind more items than there are
+free slots."""
+PEER_REPORT_TTL: Millis = 700.0
+"""How long a report of another entry counts; every entry reports at least twice a second."""
+MAX_HOLD_TIME: Millis = 300.0
+"""How long free slots are held for other entries. These learn of the slots from a hint and start
+items within 100 ms, unless they cannot reach the upstreams; the slots would then stay unused."""
 
 
 class WaitingGroup(Struct, frozen=True):
-    """Items that wait at one entry and have the same turn.
+    """Waiting items of one entry that have the same turn.
 
     Attributes:
-        turn: See `turn_of`.
-        items: How many they are.
+        turn: Sort key of the items, see `turn_of`.
+        items: Number of items.
     """
 
     turn: Millis
@@ -43,36 +44,41 @@
 
 
 def group_waiting(turns: Iterable[Millis]) -> tuple[WaitingGroup, ...]:
-    """Return the groups of items to tell others of, by the turn of each item."""
+    """Group waiting items by turn and return the groups that a hint reports, lowest turn first."""
     counted = Counter(turns)
-    return tuple(WaitingGroup(turn, counted[turn]) for turn in sorted(counted)[:MAX_GROUPS])
+    return tuple(
+        WaitingGroup(turn, counted[turn]) for turn in sorted(counted)[:MAX_GROUPS_PER_HINT]
+    )
 
 
 class Backlog:
-    """The items that wait at other entries. Not safe for threads; times are passed in."""
+    """The items that wait at other entries.
 
-    __slots__ = ("_held_since", "_told")
+    Not thread-safe; callers pass in the time.
+    """
+
+    __slots__ = ("_held_since", "_peer_reports")
 
     def __init__(self) -> None:
-        self._told: dict[str, tuple[Millis, Sequence[WaitingGroup]]] = {}
+        self._peer_reports: dict[str, tuple[Millis, Sequence[WaitingGroup]]] = {}
         self._held_since: Millis | None = None
 
     def take(self, peer: str, groups: Sequence[WaitingGroup], now: Millis) -> None:
-        """Take what waits at another entry."""
+        """Replace the reported waiting items of another entry."""
         if groups:
-            self._told[peer] = (now, groups)
+            self._peer_reports[peer] = (now, groups)
         else:
-            self._told.pop(peer, None)
+            self._peer_reports.pop(peer, None)
 
     def may_start(self, turn: Millis, *, room: int, now: Millis) -> bool:
-        """Return whether an item of this entry goes before those of the others.
+        """Return whether this entry may start an item before the other entries start theirs.
 
         Args:
             turn: Turn of the item.
-            room: Places that are free for it.
-            now: The time.
+            room: Slots that are free for the item.
+            now: Current time.
         """
-        if room > self._ahead(turn, now):
+        if room > self._items_ahead(turn, now):
             self._held_since = None
             return True
         if room <= 0:
@@ -80,14 +86,14 @@
             return False
         if self._held_since is None:
             self._held_since = now
-        return now - self._held_since > LONGEST_HOLD
+        return now - self._held_since > MAX_HOLD_TIME
 
-    def _ahead(self, turn: Millis, now: Millis) -> int:
+    def _items_ahead(self, turn: Millis, now: Millis) -> int:
         ahead = 0
-        for peer, (told, groups) in list(self._told.items()):
-            age = now - told
-            if age > TOLD_FOR:
-                del self._told[peer]
+        for peer, (received_at, groups) in list(self._peer_reports.items()):
+            age = now - received_at
+            if age > PEER_REPORT_TTL:
+                del self._peer_reports[peer]
                 continue
             for group in groups:
                 if group.turn - age < turn:
