--- a/packages/core/tests/test_direct_batch_order.py
+++ b/packages/core/tests/test_direct_batch_order.py
@@ -1,4 +1,4 @@
-"""How batch items stand against the time at which they are due."""
+"""Urgency and start order of batch items with regard to their due times."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize(
-    ("age", "remaining", "found"),
+    ("age", "remaining", "expected"),
     [
         (0.0, 5_000.0, BatchUrgency.ORDINARY),
         (8_000.0, 5_000.0, BatchUrgency.URGENT),
@@ -20,18 +20,18 @@
         (37_000.0, 5_000.0, BatchUrgency.RESCUED),
     ],
 )
-def test_an_item_is_delayed_urgent_late_or_has_time(
-    age: float, remaining: float, found: BatchUrgency
+def test_urgency_follows_from_slack_and_retention(
+    age: float, remaining: float, expected: BatchUrgency
 ) -> None:
-    """Due after 18 s, may be given up after 60 s. The last one has waited for others so long that
-    it might not finish any more if it waited for all of them."""
+    """Items are due after 18 s and may be given up after 60 s. The item of the last case has waited
+    so long that it might never finish if it went on waiting for all others."""
     urgency = urgency_of(
         age=age, completion_target=18_000.0, retention=60_000.0, remaining=remaining
     )
-    assert urgency is found
+    assert urgency is expected
 
 
-def test_what_remains_follows_the_items_that_ran() -> None:
+def test_remaining_time_follows_recorded_runs() -> None:
     pace = ItemPace()
     for _ in range(60):
         pace.ran(events=100, duration=5_000.0)
@@ -41,30 +41,34 @@
     assert pace.remaining(250) > 0
 
 
-RUN = 4_700.0
-DUE = 18_000.0
+RUN_TIME = 4_700.0
+COMPLETION_TARGET = 18_000.0
 
 
 def _turn(age: float) -> float:
-    urgency = urgency_of(age=age, completion_target=DUE, retention=60_000.0, remaining=RUN)
-    return turn_of(urgency, age=age, completion_target=DUE, remaining=RUN)
+    urgency = urgency_of(
+        age=age, completion_target=COMPLETION_TARGET, retention=60_000.0, remaining=RUN_TIME
+    )
+    return turn_of(urgency, age=age, completion_target=COMPLETION_TARGET, remaining=RUN_TIME)
 
 
-def test_rescued_items_go_before_those_with_time_to_spare_and_never_make_others_late() -> None:
-    """Old items that went before all others took the places of those that could still be on time:
-    under lasting overload nothing was on time any more."""
+def test_rescued_items_start_before_items_with_slack_and_after_urgent_ones() -> None:
+    """Old items that started before all others took the slots of items that could still be on time.
+    Under lasting overload no item was on time any more."""
     urgent, delayed, new = _turn(12_900.0), _turn(4_000.0), _turn(0.0)
     rescued, older = _turn(37_000.0), _turn(50_000.0)
     late, later = _turn(30_000.0), _turn(14_000.0)
     assert urgent < older < rescued < delayed < new < late < later
 
 
-def test_turns_fit_the_hints_however_late_an_item_is() -> None:
-    """Hints name turns in four bytes, and an item may wait for days while no engine runs."""
+def test_turns_fit_into_four_bytes_for_very_late_items() -> None:
+    """Hints encode turns in four bytes, and an item may wait for days while no engine runs."""
     day = 86_400_000.0
-    for age in (0.0, DUE, 3 * day, 60 * day):
-        turn = turn_of(BatchUrgency.LATE, age=age, completion_target=DUE, remaining=RUN)
+    for age in (0.0, COMPLETION_TARGET, 3 * day, 60 * day):
+        turn = turn_of(
+            BatchUrgency.LATE, age=age, completion_target=COMPLETION_TARGET, remaining=RUN_TIME
+        )
         assert turn_of(
-            BatchUrgency.ORDINARY, age=0.0, completion_target=40 * day, remaining=RUN
+            BatchUrgency.ORDINARY, age=0.0, completion_target=40 * day, remaining=RUN_TIME
         ) < (turn)
         assert turn < 2**32
