--- a/packages/core/src/carobspool_core/direct/_upstreams.py
+++ b/packages/core/src/carobspool_core/direct/_upstreams.py
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Upstream:
-    """A registered server of a service, since one of its starts.
+    """A registered server of a service, identified by its id and its start.
 
     Attributes:
         instance: Id of the server, which may restart under the same id.
--- a/packages/core/tests/test_direct_handover.py
+++ b/packages/core/tests/test_direct_handover.py
@@ -46,16 +46,16 @@
 
     stopped_at: float
     has_jobs: bool = True
-    gone_at: float | None = None
+    exited_at: float | None = None
 
     def accepts_jobs(self, now: float) -> bool:
         return now < self.stopped_at or self.is_back(now)
 
     def is_back(self, now: float) -> bool:
-        return self.gone_at is not None and now >= self.gone_at + RESTART_TIME
+        return self.exited_at is not None and now >= self.exited_at + RESTART_TIME
 
     def runs_jobs(self, now: float) -> bool:
-        return self.has_jobs and (self.gone_at is None or self.is_back(now))
+        return self.has_jobs and (self.exited_at is None or self.is_back(now))
 
 
 def _longest_time_without_owner(entries: int, gap: float) -> float:
@@ -67,14 +67,15 @@
         up = [each for each in fleet if each.accepts_jobs(now)]
         released = False
         for each in fleet:
-            if each.gone_at is not None or now < each.stopped_at:
+            if each.exited_at is not None or now < each.stopped_at:
                 continue
             others = [
                 Successor(silent_for=0.0, leaving=False, store_ok=True)
                 for other in up
                 if other is not each
                 and (
-                    other.gone_at is None or now >= other.gone_at + RESTART_TIME + FIRST_HINT_DELAY
+                    other.exited_at is None
+                    or now >= other.exited_at + RESTART_TIME + FIRST_HINT_DELAY
                 )
             ]
             time_left = each.stopped_at + EXIT_AFTER - now
@@ -84,12 +85,12 @@
                 each.has_jobs = False
                 released = True
             if not each.has_jobs and now >= each.stopped_at + EXIT_WITHOUT_JOBS_AFTER:
-                each.gone_at = now
+                each.exited_at = now
         if up and not any(each.runs_jobs(now) for each in fleet):
             # All entries that are up know of released jobs, and one of them takes the jobs over.
             up[0].has_jobs = True
-        working = released or any(each.runs_jobs(now) for each in fleet)
-        without_owner = 0.0 if working else without_owner + STEP
+        has_owner = released or any(each.runs_jobs(now) for each in fleet)
+        without_owner = 0.0 if has_owner else without_owner + STEP
         longest = max(longest, without_owner)
     return longest
 
--- a/packages/core/tests/test_direct_liveness.py
+++ b/packages/core/tests/test_direct_liveness.py
@@ -10,12 +10,12 @@
 TICK: Millis = 100.0
 
 
-class _Fleet:
+class _Simulation:
     """An entry that evaluates one peer at each tick."""
 
     def __init__(self) -> None:
         self.now: Millis = 0.0
-        self.heard: Millis | None = 0.0
+        self.last_hint_at: Millis | None = 0.0
         self.liveness = Liveness(self.now)
         self.lost_at: list[Millis] = []
         self.gone_at: list[Millis] = []
@@ -31,77 +31,77 @@
         while self.now < until:
             self.now += TICK
             if hearing:
-                self.hear()
+                self.receive_hint()
             self.liveness.look(self.now)
-            if self.heard is None:
+            if self.last_hint_at is None:
                 continue
-            silence = self.now - self.heard
+            silence = self.now - self.last_hint_at
             state = self.liveness.judge("e2#1", silence, leaving=leaving, now=self.now)
             if state.is_lost:
                 self.lost_at.append(silence)
             if state.is_gone:
                 self.gone_at.append(silence)
             if state.is_forgotten:
-                self.heard = None
+                self.last_hint_at = None
 
-    def hear(self) -> None:
+    def receive_hint(self) -> None:
         """Receive a hint of the peer."""
-        silence = None if self.heard is None else self.now - self.heard
+        silence = None if self.last_hint_at is None else self.now - self.last_hint_at
         self.liveness.heard(silence, self.now)
-        self.heard = self.now
+        self.last_hint_at = self.now
 
 
 @pytest.fixture
-def fleet() -> _Fleet:
+def simulation() -> _Simulation:
     """An entry that has received hints of its peer for longer than the initial doubt lasts."""
-    entry = _Fleet()
+    entry = _Simulation()
     entry.wait(DOUBT_TIME + TICK, hearing=True)
     assert not entry.has_doubt
     return entry
 
 
-def test_silent_peer_is_lost_and_then_reported_gone_once(fleet: _Fleet) -> None:
-    fleet.wait(FORGET_AFTER - TICK, hearing=False)
-    assert fleet.lost_at[0] == DEAD_AFTER
-    assert fleet.gone_at == [GONE_AFTER]
+def test_silent_peer_is_lost_and_then_reported_gone_once(simulation: _Simulation) -> None:
+    simulation.wait(FORGET_AFTER - TICK, hearing=False)
+    assert simulation.lost_at[0] == DEAD_AFTER
+    assert simulation.gone_at == [GONE_AFTER]
 
 
-def test_peer_that_returns_in_time_is_not_lost(fleet: _Fleet) -> None:
+def test_peer_that_returns_in_time_is_not_lost(simulation: _Simulation) -> None:
     for _ in range(5):
-        fleet.wait(DEAD_AFTER - 2 * TICK, hearing=False)
-        fleet.hear()
-    assert fleet.lost_at == []
-    assert fleet.has_doubt
+        simulation.wait(DEAD_AFTER - 2 * TICK, hearing=False)
+        simulation.receive_hint()
+    assert simulation.lost_at == []
+    assert simulation.has_doubt
 
 
-def test_ownership_is_in_doubt_during_a_partition_and_at_its_end(fleet: _Fleet) -> None:
+def test_ownership_is_in_doubt_during_a_partition_and_at_its_end(simulation: _Simulation) -> None:
     for _ in range(20):
-        fleet.wait(1_000.0, hearing=False)
-        assert fleet.has_doubt
-    fleet.wait(FORGET_AFTER + DOUBT_TIME, hearing=False)
-    assert not fleet.has_doubt
-    fleet.hear()
-    assert fleet.has_doubt
+        simulation.wait(1_000.0, hearing=False)
+        assert simulation.has_doubt
+    simulation.wait(FORGET_AFTER + DOUBT_TIME, hearing=False)
+    assert not simulation.has_doubt
+    simulation.receive_hint()
+    assert simulation.has_doubt
 
 
-def test_ownership_is_in_doubt_after_a_suspension(fleet: _Fleet) -> None:
+def test_ownership_is_in_doubt_after_a_suspension(simulation: _Simulation) -> None:
     """Others may have declared the suspended process dead; receiving their hints again right
     afterwards does not rule that out."""
-    fleet.now += 10_000.0
-    assert fleet.liveness.look(fleet.now) == 10_000.0
-    fleet.wait(DOUBT_TIME - TICK, hearing=True)
-    assert fleet.has_doubt
+    simulation.now += 10_000.0
+    assert simulation.liveness.look(simulation.now) == 10_000.0
+    simulation.wait(DOUBT_TIME - TICK, hearing=True)
+    assert simulation.has_doubt
 
 
-def test_shutdown_of_a_peer_causes_doubt_once(fleet: _Fleet) -> None:
-    fleet.wait(800.0, hearing=False, leaving=True)
-    assert not fleet.has_doubt
-    fleet.wait(200.0, hearing=False, leaving=True)
-    assert fleet.has_doubt
-    fleet.wait(2_000.0, hearing=False, leaving=True)
-    assert not fleet.has_doubt
+def test_shutdown_of_a_peer_causes_doubt_once(simulation: _Simulation) -> None:
+    simulation.wait(800.0, hearing=False, leaving=True)
+    assert not simulation.has_doubt
+    simulation.wait(200.0, hearing=False, leaving=True)
+    assert simulation.has_doubt
+    simulation.wait(2_000.0, hearing=False, leaving=True)
+    assert not simulation.has_doubt
 
 
-def test_report_of_silence_causes_doubt(fleet: _Fleet) -> None:
-    fleet.liveness.reported_silent(fleet.now)
-    assert fleet.has_doubt
+def test_report_of_silence_causes_doubt(simulation: _Simulation) -> None:
+    simulation.liveness.reported_silent(simulation.now)
+    assert simulation.has_doubt
--- a/packages/core/tests/test_direct_queueing.py
+++ b/packages/core/tests/test_direct_queueing.py
@@ -23,10 +23,10 @@
 @dataclass
 class _Caller:
     arrived: float
-    returns: int = 0
+    retries: int = 0
 
 
-def _simulate_overload(fresh_queue: int, returned_queue: int) -> tuple[int, int, int]:
+def _simulate_overload(new_queue: int, retry_queue: int) -> tuple[int, int, int]:
     """Simulate 20 s of 27 requests a second at two engines of 8 slots, which serve 17.8 requests of
     900 ms a second. Refused callers retry once. Return how many requests were on time (300 ms to
     the start, less 50 ms for the first token), late, and refused."""
@@ -45,12 +45,12 @@
         waiting = sum(slot > now for slot in engine) + sum(
             max(0.0, slot - now - 900.0) > 0 for slot in engine
         )
-        limit = returned_queue if caller.returns else fresh_queue
+        limit = retry_queue if caller.retries else new_queue
         if waiting - 8 >= limit:
-            if caller.returns:
+            if caller.retries:
                 refused += 1
                 continue
-            caller.returns += 1
+            caller.retries += 1
             retry_at = now + return_after(draw.random(), 5_000.0)
             heapq.heappush(heap, (retry_at, number, caller))
             continue
