--- a/packages/core/src/carobspool_core/direct/__init__.py
+++ b/packages/core/src/carobspool_core/direct/__init__.py
@@ -26,13 +26,13 @@
 )
 from carobspool_core.direct._job_work import (
     ItemEnd,
-    ItemPart,
     ItemResult,
     ItemWork,
     JobInput,
     JobItem,
     JobProgress,
     JobWork,
+    PartialItem,
 )
 from carobspool_core.direct._leaving import (
     LEAVING_RETRY_AFTER,
@@ -46,7 +46,7 @@
     GONE_AFTER,
     SILENT_AFTER,
     Liveness,
-    Silence,
+    PeerStatus,
 )
 from carobspool_core.direct._load_pace import LoadPace
 from carobspool_core.direct._placement import (
@@ -99,7 +99,6 @@
     "FleetLoads",
     "ItemEnd",
     "ItemPace",
-    "ItemPart",
     "ItemResult",
     "ItemWork",
     "JobInput",
@@ -110,10 +109,11 @@
     "Load",
     "LoadPace",
     "MeanDuration",
+    "PartialItem",
+    "PeerStatus",
     "Route",
     "RouteKind",
     "SharedView",
-    "Silence",
     "StreamEvent",
     "Successor",
     "Upstream",
--- a/packages/core/src/carobspool_core/direct/_job_codec.py
+++ b/packages/core/src/carobspool_core/direct/_job_codec.py
@@ -9,11 +9,11 @@
 from carobspool_core._ports import Json
 from carobspool_core.direct._job_work import (
     ItemEnd,
-    ItemPart,
     ItemResult,
     JobInput,
     JobItem,
     JobProgress,
+    PartialItem,
 )
 from carobspool_core.problems import Problem, UnusableRecordError
 from carobspool_core.records import Bounds, Record, ValidatedBy, field, read_record
@@ -34,14 +34,14 @@
 _Row = Annotated[list[Text], Bounds(min_length=3, max_length=3)]
 
 
-def _checked_part(value: Any) -> ItemPart:
+def _checked_partial_item(value: Any) -> PartialItem:
     match value:
         case [int() as last_event, str() as text] if last_event >= 0:
-            return ItemPart(last_event=last_event, text=text)
+            return PartialItem(last_event=last_event, text=text)
     raise ValueError("a list of the last event id and a string")
 
 
-_Part = Annotated[ItemPart, ValidatedBy(_checked_part)]
+_PartialItem = Annotated[PartialItem, ValidatedBy(_checked_partial_item)]
 
 
 class _Item(Record):
@@ -67,7 +67,7 @@
     total: int = field(ge=0)
     results: list[_Row]
     failures: dict[Text, int]
-    parts: dict[Text, _Part] = {}
+    parts: dict[Text, _PartialItem] = {}
 
 
 def job_to_json(job: JobInput) -> Json:
--- a/packages/core/src/carobspool_core/direct/_job_work.py
+++ b/packages/core/src/carobspool_core/direct/_job_work.py
@@ -65,7 +65,7 @@
     text: str
 
 
-class ItemPart(Struct, frozen=True, kw_only=True):
+class PartialItem(Struct, frozen=True, kw_only=True):
     """The received events of an unfinished item.
 
     Attributes:
@@ -94,7 +94,7 @@
     ended: bool = False
     results: tuple[ItemResult, ...] = ()
     failures: Mapping[str, int] = field(default_factory=dict)
-    parts: Mapping[str, ItemPart] = field(default_factory=dict)
+    parts: Mapping[str, PartialItem] = field(default_factory=dict)
 
 
 class ItemWork(Struct):
@@ -114,7 +114,7 @@
 
     item: JobItem
     failures: int = 0
-    committed_part: ItemPart | None = None
+    committed_part: PartialItem | None = None
     texts: list[str] = field(default_factory=list)
     running: bool = False
     not_before: Millis = 0.0
@@ -131,13 +131,13 @@
         """The data of all events, separated by line feeds."""
         return _join_texts(self.committed_part, self.texts)
 
-    def part(self) -> ItemPart | None:
+    def partial_item(self) -> PartialItem | None:
         """Return the events received so far, ``None`` if there are none."""
         texts = list(self.texts)
         if not texts:
             return self.committed_part
         committed = self.committed_part.last_event if self.committed_part is not None else 0
-        return ItemPart(
+        return PartialItem(
             last_event=committed + len(texts), text=_join_texts(self.committed_part, texts)
         )
 
@@ -271,14 +271,14 @@
         for item_id in committed & set(self._open):
             del self._open[item_id]
 
-    def _partial_items(self) -> dict[str, ItemPart]:
-        parts: dict[str, ItemPart] = {}
+    def _partial_items(self) -> dict[str, PartialItem]:
+        parts: dict[str, PartialItem] = {}
         if self._ended:
             return parts
         for item_id, work in self._open.items():
-            part = work.part()
-            if part is not None:
-                parts[item_id] = part
+            partial = work.partial_item()
+            if partial is not None:
+                parts[item_id] = partial
         return parts
 
     def not_committed(self) -> None:
@@ -286,6 +286,6 @@
         self._needs_commit = True
 
 
-def _join_texts(committed_part: ItemPart | None, texts: Sequence[str]) -> str:
+def _join_texts(committed_part: PartialItem | None, texts: Sequence[str]) -> str:
     parts = list(texts) if committed_part is None else [committed_part.text, *texts]
     return "\n".join(parts)
--- a/packages/core/src/carobspool_core/direct/_liveness.py
+++ b/packages/core/src/carobspool_core/direct/_liveness.py
@@ -29,7 +29,7 @@
 all of that time."""
 
 
-class Silence(Struct, frozen=True, kw_only=True):
+class PeerStatus(Struct, frozen=True, kw_only=True):
     """Conclusions from the time since the last hint of a peer.
 
     Attributes:
@@ -88,7 +88,7 @@
         """Record that a peer reports this entry as silent."""
         self._doubt_until = now + DOUBT_TIME
 
-    def judge(self, identity: str, silence: Millis, *, leaving: bool, now: Millis) -> Silence:
+    def judge(self, identity: str, silence: Millis, *, leaving: bool, now: Millis) -> PeerStatus:
         """Evaluate the time since the last hint of a peer.
 
         Args:
@@ -111,4 +111,4 @@
         if is_forgotten:
             self._shut_down.discard(identity)
             self._reported_gone.discard(identity)
-        return Silence(is_lost=silence >= DEAD_AFTER, is_gone=is_gone, is_forgotten=is_forgotten)
+        return PeerStatus(is_lost=silence >= DEAD_AFTER, is_gone=is_gone, is_forgotten=is_forgotten)
