--- a/packages/core/src/carobspool_core/direct/_failure_reports.py
+++ b/packages/core/src/carobspool_core/direct/_failure_reports.py
@@ -15,9 +15,9 @@
 from carobspool_core._clock import Millis
 
 FAILURE_THRESHOLD = 2
-"""Failures within `FAILURE_WINDOW` from which an upstream is avoided. One failure may be a lost
-answer: at times half of the upstreams lose 2 or 3 in 100 answers. At five requests a second two
-lost answers in one window are then rare, and two failures are certain if half of the requests
+"""Number of failures within `FAILURE_WINDOW` at which an upstream is avoided. One failure may be a
+lost answer: at times half of the upstreams lose 2 or 3 in 100 answers. At five requests a second
+two lost answers in one window are then rare, and two failures are certain if half of the requests
 fail."""
 FAILURE_WINDOW: Millis = 2_000.0
 """How long a failure counts. Afterwards the upstream is tried again; if it still fails, it is
--- a/packages/core/src/carobspool_core/direct/_placement.py
+++ b/packages/core/src/carobspool_core/direct/_placement.py
@@ -90,8 +90,8 @@
     """Return `SAMPLED` random upstreams that are not suspects, none if there are not more."""
     if len(upstreams) <= SAMPLED:
         return ()
-    # The sample is large enough without the suspects, and its size is independent of the number
-    # of upstreams.
+    # Draws enough upstreams that `SAMPLED` healthy ones remain even if all suspects are drawn. The
+    # cost does not depend on the number of upstreams.
     sample = draw.sample(upstreams, min(len(upstreams), SAMPLED + 1 + len(suspects)))
     healthy = [candidate for candidate in sample if candidate.identity not in suspects]
     return healthy[:SAMPLED] if len(healthy) > SAMPLED else ()
--- a/packages/core/src/carobspool_core/direct/_upstreams.py
+++ b/packages/core/src/carobspool_core/direct/_upstreams.py
@@ -173,8 +173,8 @@
 
         Listings and watch events can arrive out of order, and an earlier start, which no longer
         answers requests, must not be listed again. A registration without a start is ignored only
-        while one with a start is listed. Its software may have been replaced by an older version,
-        and the server would otherwise never be used again.
+        while one with a start is listed: the software of the server may have been replaced by an
+        older version, and the server would otherwise never be used again.
         """
         if listed is not None and listed.replaces(upstream):
             return True
