--- a/packages/core/src/carobspool_core/direct/_leaving.py
+++ b/packages/core/src/carobspool_core/direct/_leaving.py
@@ -1,7 +1,8 @@
 """Which new requests an entry accepts while it shuts down.
 
-Load pattern: the balancer still sends connections to an entry that is not ready if most entries of
-its failure domain are shutting down too, and callers use open connections until the process exits.
+Load pattern: the balancer still sends connections to an entry that is not ready, since most entries
+of its failure domain are shutting down too, and callers use open connections until the process
+exits.
 A request that is accepted shortly before the exit is cut off. A request that is refused as not run
 is retried at another entry.
 """
--- a/packages/core/src/carobspool_core/direct/_load_pace.py
+++ b/packages/core/src/carobspool_core/direct/_load_pace.py
@@ -12,7 +12,7 @@
 from carobspool_core._clock import Millis
 
 MAX_DATAGRAMS_PER_SECOND = 2_000.0
-"""Limit of the load hints that an entry sends to all its peers together."""
+"""Limit of the datagrams with loads that an entry sends to all its peers together."""
 MAX_BURST = 10.0
 """Changes that are sent one by one before the budget delays them."""
 MIN_SEND_INTERVAL: Millis = 4.0
@@ -26,7 +26,7 @@
 class LoadPace:
     """Token bucket for sending loads to all peers. Not thread-safe; callers pass in the time."""
 
-    __slots__ = ("_tokens", "_refilled_at", "_last_sent_at")
+    __slots__ = ("_last_sent_at", "_refilled_at", "_tokens")
 
     def __init__(self) -> None:
         self._tokens = MAX_BURST
