--- a/packages/standins/src/carobspool_standins/hosts.py
+++ b/packages/standins/src/carobspool_standins/hosts.py
@@ -1,4 +1,4 @@
-"""Stand-in of the lagging host list: ``python -m carobspool_standins.hosts SETTINGS``."""
+"""Stand-in for a lagging host list: ``python -m carobspool_standins.hosts SETTINGS``."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 from carobspool_standins._main import run_standin
 from carobspool_standins._settings import ServerSettings, Settings
 
-HELD_VERSIONS = 10_000
+MAX_VERSIONS = 10_000
 
 
 class HostRecord(Settings):
-    """One host of the platform."""
+    """A host of the platform."""
 
     host: str
     address: str
@@ -38,8 +38,8 @@
     """Settings of the host list.
 
     Attributes:
-        lag_ms: How old the list is that callers see.
-        hosts: Hosts at the start.
+        lag_ms: Age of the list that callers receive.
+        hosts: Initial hosts.
     """
 
     lag_ms: float = 0.0
@@ -55,46 +55,46 @@
 
 
 class _HostTable:
-    """Every version of the list, with the instant from which it held."""
+    """Latest versions of the list, each with the time of its change. Thread-safe."""
 
     def __init__(self, hosts: dict[str, HostRecord]) -> None:
         self._lock = threading.Lock()
         self._versions: list[tuple[float, dict[str, HostRecord]]] = [(0.0, hosts)]
 
-    def change(self, host: str, record: HostRecord | None) -> bool:
-        """Set or remove a host; returns whether it was there."""
+    def set_or_remove(self, host: str, record: HostRecord | None) -> bool:
+        """Set a host, or remove it if ``record`` is ``None``; return whether it existed."""
         with self._lock:
             hosts = dict(self._versions[-1][1])
-            known = hosts.pop(host, None) is not None
+            existed = hosts.pop(host, None) is not None
             if record is not None:
                 hosts[host] = record
             self._versions.append((time.monotonic() * 1000.0, hosts))
-            del self._versions[:-HELD_VERSIONS]
-            return known
+            del self._versions[:-MAX_VERSIONS]
+            return existed
 
-    def as_of(self, lag_ms: float) -> list[HostRecord]:
-        """Return the list as it was ``lag_ms`` ago."""
+    def snapshot(self, lag_ms: float) -> list[HostRecord]:
+        """Return the hosts as they were ``lag_ms`` ago."""
         limit = time.monotonic() * 1000.0 - lag_ms
         with self._lock:
-            for since, hosts in reversed(self._versions):
-                if since <= limit:
+            for changed_at, hosts in reversed(self._versions):
+                if changed_at <= limit:
                     return list(hosts.values())
             return list(self._versions[0][1].values())
 
 
 def make_application(settings: HostsSettings) -> WsgiApplication:
-    """Return the host list with the hosts of the settings."""
+    """Return the WSGI application of the host list, with the hosts in ``settings``."""
     table = _HostTable({record.host: record for record in settings.hosts})
     board = FaultBoard(HostsFaults)
 
-    def show(_request: Request) -> Response:
+    def list_hosts(_request: Request) -> Response:
         faults = board.current
         if faults.delay_ms > 0:
             time.sleep(faults.delay_ms / 1000.0)
         if faults.outage:
             return error_response(HTTPStatus.SERVICE_UNAVAILABLE, "outage", "no service")
         lag = settings.lag_ms if faults.lag_ms is None else faults.lag_ms
-        return json_response({"hosts": [record.model_dump() for record in table.as_of(lag)]})
+        return json_response({"hosts": [record.model_dump() for record in table.snapshot(lag)]})
 
     def put(request: Request, host: str) -> Response:
         try:
@@ -103,16 +103,16 @@
             return error_response(HTTPStatus.BAD_REQUEST, "invalid_host", str(error))
         if record.host != host:
             return error_response(HTTPStatus.BAD_REQUEST, "invalid_host", "names differ")
-        table.change(host, record)
+        table.set_or_remove(host, record)
         return json_response(record.model_dump())
 
     def delete(_request: Request, host: str) -> Response:
-        if not table.change(host, None):
+        if not table.set_or_remove(host, None):
             return error_response(HTTPStatus.NOT_FOUND, "not_found", "no such host")
         return json_response({"host": host})
 
     rules = [
-        Rule("/hosts", methods=["GET"], endpoint=show),
+        Rule("/hosts", methods=["GET"], endpoint=list_hosts),
         Rule("/hosts/<host>", methods=["PUT"], endpoint=put),
         Rule("/hosts/<host>", methods=["DELETE"], endpoint=delete),
     ]
--- a/packages/standins/src/carobspool_standins/weights.py
+++ b/packages/standins/src/carobspool_standins/weights.py
@@ -1,4 +1,4 @@
-"""Stand-in of the rate-limited weight store: ``python -m carobspool_standins.weights SETTINGS``."""
+"""Stand-in for a rate-limited weight store: ``python -m carobspool_standins.weights SETTINGS``."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from carobspool_standins._main import run_standin
 from carobspool_standins._settings import ServerSettings
 
-PIECE_BYTES = 65_536
+CHUNK_BYTES = 65_536
 MAX_BYTES = 1 << 30
 
 
@@ -31,9 +31,9 @@
 
     Attributes:
         bytes_per_second: Rate shared by all downloads.
-        concurrent: Downloads at a time; more are refused.
-        default_bytes: Size of a model's weights when the call names none.
-        retry_after_s: What a refusal tells.
+        concurrent: Maximum number of concurrent downloads; more are rejected.
+        default_bytes: Size of a model's weights if the call gives no size.
+        retry_after_s: Value of the ``Retry-After`` header of a rejection.
     """
 
     bytes_per_second: float = Field(default=50_000_000.0, gt=0)
@@ -50,73 +50,73 @@
 
 
 class _Transfers:
-    """The shared rate and the downloads in progress."""
+    """Rate limiter and slots that all downloads share, with counters. Thread-safe."""
 
     def __init__(self, settings: WeightsSettings) -> None:
         self._lock = threading.Lock()
         self._seconds_per_byte = 1.0 / settings.bytes_per_second
-        self._free = settings.concurrent
-        self._next = 0.0
+        self._free_slots = settings.concurrent
+        self._available_at = 0.0
         self._calls = 0
         self._refused = 0
         self._bytes = 0
 
     @property
     def counts(self) -> dict[str, int]:
-        """Calls, refusals and bytes since the start."""
+        """Number of calls, rejections and bytes since the start."""
         with self._lock:
             return {"calls": self._calls, "refused": self._refused, "bytes": self._bytes}
 
-    def begin(self) -> bool:
-        """Take a place; returns whether one was free."""
+    def acquire(self) -> bool:
+        """Acquire a download slot and return whether one was free."""
         with self._lock:
             self._calls += 1
-            if self._free == 0:
+            if self._free_slots == 0:
                 self._refused += 1
                 return False
-            self._free -= 1
+            self._free_slots -= 1
             return True
 
-    def end(self) -> None:
-        """Give the place back."""
+    def release(self) -> None:
+        """Release a download slot."""
         with self._lock:
-            self._free += 1
+            self._free_slots += 1
 
     def reserve(self, count: int, slow_factor: float) -> float:
-        """Reserve the line for ``count`` bytes and return the instant at which they are through."""
+        """Reserve bandwidth for ``count`` bytes and return the monotonic time of their arrival."""
         with self._lock:
-            start = max(self._next, time.monotonic())
-            self._next = start + count * self._seconds_per_byte * slow_factor
+            start = max(self._available_at, time.monotonic())
+            self._available_at = start + count * self._seconds_per_byte * slow_factor
             self._bytes += count
-            return self._next
+            return self._available_at
 
 
 class _Download:
-    """The pieces of one answer; its place is given back exactly once, when it is closed."""
+    """Iterable body of one download; ``close`` releases its slot exactly once."""
 
     def __init__(self, total: int, transfers: _Transfers, board: FaultBoard[WeightsFaults]) -> None:
-        self._left = total
+        self._remaining_bytes = total
         self._transfers = transfers
         self._board = board
-        self._open = True
+        self._holds_slot = True
 
     def __iter__(self) -> Iterator[bytes]:
-        while self._left > 0:
-            count = min(PIECE_BYTES, self._left)
-            through_at = self._transfers.reserve(count, self._board.current.slow_factor)
-            time.sleep(max(0.0, through_at - time.monotonic()))
-            self._left -= count
+        while self._remaining_bytes > 0:
+            count = min(CHUNK_BYTES, self._remaining_bytes)
+            done_at = self._transfers.reserve(count, self._board.current.slow_factor)
+            time.sleep(max(0.0, done_at - time.monotonic()))
+            self._remaining_bytes -= count
             yield bytes(count)
 
     def close(self) -> None:
-        """Give the place back, also when the client has gone."""
-        if self._open:
-            self._open = False
-            self._transfers.end()
+        """Release the slot; the server also calls this after the client has disconnected."""
+        if self._holds_slot:
+            self._holds_slot = False
+            self._transfers.release()
 
 
 def make_application(settings: WeightsSettings) -> WsgiApplication:
-    """Return the weight store."""
+    """Return the WSGI application of the weight store."""
     transfers = _Transfers(settings)
     board = FaultBoard(WeightsFaults)
 
@@ -126,14 +126,14 @@
         total = request.args.get("bytes", settings.default_bytes, type=int)
         if not 0 <= total <= MAX_BYTES:
             return error_response(HTTPStatus.BAD_REQUEST, "invalid_size", "too many bytes")
-        if not transfers.begin():
+        if not transfers.acquire():
             headers = {"Retry-After": str(settings.retry_after_s)}
             return error_response(
                 HTTPStatus.TOO_MANY_REQUESTS, "busy", f"{model}/{version}: busy", headers
             )
         headers = {"Content-Length": str(total)}
-        pieces = _Download(total, transfers, board)
-        return Response(pieces, headers=headers, content_type="application/octet-stream")
+        body = _Download(total, transfers, board)
+        return Response(body, headers=headers, content_type="application/octet-stream")
 
     rules = [
         Rule("/weights/<model>/<version>", methods=["GET"], endpoint=fetch),
