--- a/packages/standins/src/carobspool_standins/memory_store.py
+++ b/packages/standins/src/carobspool_standins/memory_store.py
@@ -1,7 +1,7 @@
-"""An in-memory object store with injectable faults, for tests of what stands on the port.
+"""In-memory object store with injectable faults, for tests of code that uses ``ObjectStore``.
 
-Several views of one store stand for several processes: each has faults of its own, so that one
-process can be cut off or paused while the others go on.
+Several views of one store represent several processes. Each view has its own faults, so that one
+process can be cut off or paused while the others continue.
 """
 
 from __future__ import annotations
@@ -33,7 +33,11 @@
 
 
 class FaultKind(StrEnum):
-    """What becomes of a write that a `FaultRule` matches."""
+    """Outcome of a write that a `FaultRule` matches.
+
+    ``UNKNOWN_AFTER`` fails after the write took effect, ``UNKNOWN_BEFORE`` before it; the caller
+    can't tell them apart. ``REFUSED`` rejects the write.
+    """
 
     UNKNOWN_AFTER = "unknown_after"
     UNKNOWN_BEFORE = "unknown_before"
@@ -42,7 +46,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class FaultRule:
-    """Faults for the next ``count`` writes of the given kinds under a prefix."""
+    """A fault for the next ``count`` writes of the given operations under a prefix."""
 
     kind: FaultKind
     prefix: str = ""
@@ -52,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class WriteRecord:
-    """One write that took effect; ``writer`` names the view."""
+    """A write that took effect; ``writer`` is the name of the view that made it."""
 
     key: str
     version: int
@@ -63,7 +67,15 @@
 
 @dataclass(slots=True)
 class MemoryObjects:
-    """The state that all views share."""
+    """The state shared by all views.
+
+    Attributes:
+        revision: Revision of the latest write.
+        floor: Oldest revision from which a watch can start.
+        texts: Version and JSON text of each object, by key.
+        history: All writes that took effect, in order.
+        changed: Lock of the state; notified after each write.
+    """
 
     revision: int = 0
     floor: int = 0
@@ -72,91 +84,100 @@
     changed: threading.Condition = field(default_factory=threading.Condition)
 
     def compact(self) -> None:
-        """Forget the events up to now: a watch from an older revision fails."""
+        """Compact all events so far: a watch from an older revision fails."""
         with self.changed:
             self.floor = self.revision
             self.changed.notify_all()
 
     def value(self, key: str) -> Json:
-        """Return the value of a key, ``None`` if there is none."""
+        """Return the value of a key, or ``None`` if it does not exist."""
         with self.changed:
             found = self.texts.get(key)
         return None if found is None else json.loads(found[1])
 
 
 class MemoryStore:
-    """One process's view of a `MemoryObjects`; an `ObjectStore`."""
+    """An `ObjectStore` that represents one process's view of a `MemoryObjects`.
+
+    Args:
+        objects: The shared state.
+        name: Name of the view, recorded with its writes.
+
+    Attributes:
+        outage: Whether every call fails as unavailable.
+        calls: Number of calls by operation.
+    """
 
     def __init__(self, objects: MemoryObjects, name: str) -> None:
         self._objects = objects
         self._name = name
         self._rules: list[FaultRule] = []
-        self._running = threading.Event()
-        self._running.set()
+        self._unpaused = threading.Event()
+        self._unpaused.set()
         self.outage = False
         self.calls: dict[str, int] = {}
 
     def inject(self, rule: FaultRule) -> None:
-        """Let a rule take hold of coming writes."""
+        """Apply a fault rule to future writes of this view."""
         with self._objects.changed:
             self._rules.append(rule)
 
     def pause(self) -> None:
-        """Hold every call of this view before it does anything, as a paused process would."""
-        self._running.clear()
+        """Block every call of this view before it has an effect, as in a paused process."""
+        self._unpaused.clear()
 
     def resume(self) -> None:
-        """Let held calls go on."""
-        self._running.set()
+        """Unblock the calls that `pause` blocked."""
+        self._unpaused.set()
 
     def get(self, key: str) -> Result[StoredObject, StoreFailure]:
         """Read one object."""
-        with self._begin("get"):
+        with self._begin_call("get"):
             if self.outage:
-                return _fail(StoreFault.UNAVAILABLE, key)
+                return _failure(StoreFault.UNAVAILABLE, key)
             found = self._objects.texts.get(key)
             if found is None:
-                return _fail(StoreFault.NOT_FOUND, key)
-            return Success(_stored(key, found))
+                return _failure(StoreFault.NOT_FOUND, key)
+            return Success(_stored_object(key, found))
 
     def list(
         self, prefix: str, *, after: str = "", limit: int = 500
     ) -> Result[ObjectPage, StoreFailure]:
         """Read a page of objects in key order."""
-        with self._begin("list"):
+        with self._begin_call("list"):
             if self.outage:
-                return _fail(StoreFault.UNAVAILABLE, prefix)
+                return _failure(StoreFault.UNAVAILABLE, prefix)
             keys = sorted(key for key in self._objects.texts if key.startswith(prefix))
             keys = keys[bisect_right(keys, after) :]
-            objects = [_stored(key, self._objects.texts[key]) for key in keys[:limit]]
+            objects = [_stored_object(key, self._objects.texts[key]) for key in keys[:limit]]
             revision = self._objects.revision
             return Success(ObjectPage(revision=revision, objects=objects, more=len(keys) > limit))
 
     def create(self, key: str, value: Json) -> Result[StoredObject, StoreFailure]:
-        """Write an object that must not exist yet."""
+        """Write an object if it does not exist yet."""
         return self._write("create", key, value, 0)
 
     def update(self, key: str, value: Json, *, version: int) -> Result[StoredObject, StoreFailure]:
-        """Replace an object whose version must be ``version``."""
+        """Replace an object if its version is ``version``."""
         return self._write("update", key, value, version)
 
     def delete(self, key: str, *, version: int) -> Result[None, StoreFailure]:
-        """Remove an object whose version must be ``version``."""
-        with self._begin("delete"):
-            fault = self._fault("delete", key)
+        """Remove an object if its version is ``version``."""
+        with self._begin_call("delete"):
+            fault = self._next_fault("delete", key)
             if fault is FaultKind.REFUSED:
-                return _fail(StoreFault.UNAVAILABLE, key)
+                return _failure(StoreFault.UNAVAILABLE, key)
             if fault is FaultKind.UNKNOWN_BEFORE:
-                return _fail(StoreFault.UNKNOWN, key)
+                return _failure(StoreFault.UNKNOWN, key)
             found = self._objects.texts.get(key)
             if found is None:
-                return _fail(StoreFault.NOT_FOUND, key)
+                return _failure(StoreFault.NOT_FOUND, key)
             if found[0] != version:
-                return Failure(self._conflict(key))
+                return Failure(self._conflict_failure(key))
             del self._objects.texts[key]
-            self._record(key, None, deleted=True)
+            self._append_history(key, None, deleted=True)
             if fault is FaultKind.UNKNOWN_AFTER:
-                return _fail(StoreFault.UNKNOWN, key)
+                return _failure(StoreFault.UNKNOWN, key)
             return Success(None)
 
     def watch(
@@ -164,17 +185,17 @@
     ) -> Result[WatchBatch, StoreFailure]:
         """Wait for changes under ``prefix`` after ``revision``."""
         objects = self._objects
-        with self._begin("watch"):
+        with self._begin_call("watch"):
             if self.outage:
-                return _fail(StoreFault.UNAVAILABLE, prefix)
+                return _failure(StoreFault.UNAVAILABLE, prefix)
             if revision < objects.floor:
-                return _fail(StoreFault.COMPACTED, prefix)
+                return _failure(StoreFault.COMPACTED, prefix)
             objects.changed.wait_for(
                 lambda: bool(self._changes(prefix, revision)), timeout=timeout / 1000.0
             )
             changes = self._changes(prefix, revision)
             batch = WatchBatch(revision=objects.revision, changes=changes)
-        self._running.wait()
+        self._unpaused.wait()
         return Success(batch)
 
     def _changes(self, prefix: str, revision: int) -> Sequence[ObjectChange]:
@@ -188,8 +209,8 @@
             changes.append(ObjectChange(object=stored, deleted=record.deleted))
         return changes
 
-    def _begin(self, operation: str) -> threading.Condition:
-        self._running.wait()
+    def _begin_call(self, operation: str) -> threading.Condition:
+        self._unpaused.wait()
         self.calls[operation] = self.calls.get(operation, 0) + 1
         return self._objects.changed
 
@@ -197,24 +218,24 @@
         self, operation: str, key: str, value: Json, version: int
     ) -> Result[StoredObject, StoreFailure]:
         text = json.dumps(value)
-        with self._begin(operation):
-            fault = self._fault(operation, key)
+        with self._begin_call(operation):
+            fault = self._next_fault(operation, key)
             if fault is FaultKind.REFUSED:
-                return _fail(StoreFault.UNAVAILABLE, key)
+                return _failure(StoreFault.UNAVAILABLE, key)
             if fault is FaultKind.UNKNOWN_BEFORE:
-                return _fail(StoreFault.UNKNOWN, key)
+                return _failure(StoreFault.UNKNOWN, key)
             if len(text) > MAX_VALUE_BYTES:
-                return _fail(StoreFault.TOO_LARGE, key)
+                return _failure(StoreFault.TOO_LARGE, key)
             found = self._objects.texts.get(key)
             if (found[0] if found else 0) != version:
-                return Failure(self._conflict(key))
+                return Failure(self._conflict_failure(key))
             self._objects.texts[key] = (self._objects.revision + 1, text)
-            self._record(key, json.loads(text), deleted=False)
+            self._append_history(key, json.loads(text), deleted=False)
             if fault is FaultKind.UNKNOWN_AFTER:
-                return _fail(StoreFault.UNKNOWN, key)
-            return Success(_stored(key, self._objects.texts[key]))
+                return _failure(StoreFault.UNKNOWN, key)
+            return Success(_stored_object(key, self._objects.texts[key]))
 
-    def _record(self, key: str, value: Json, *, deleted: bool) -> None:
+    def _append_history(self, key: str, value: Json, *, deleted: bool) -> None:
         objects = self._objects
         objects.revision += 1
         record = WriteRecord(
@@ -223,7 +244,7 @@
         objects.history.append(record)
         objects.changed.notify_all()
 
-    def _fault(self, operation: str, key: str) -> FaultKind | None:
+    def _next_fault(self, operation: str, key: str) -> FaultKind | None:
         if self.outage:
             return FaultKind.REFUSED
         for rule in self._rules:
@@ -235,15 +256,15 @@
             return rule.kind
         return None
 
-    def _conflict(self, key: str) -> StoreFailure:
+    def _conflict_failure(self, key: str) -> StoreFailure:
         found = self._objects.texts.get(key)
-        current = None if found is None else _stored(key, found)
+        current = None if found is None else _stored_object(key, found)
         return StoreFailure(fault=StoreFault.CONFLICT, key=key, current=current)
 
 
-def _stored(key: str, found: tuple[int, str]) -> StoredObject:
+def _stored_object(key: str, found: tuple[int, str]) -> StoredObject:
     return StoredObject(key=key, version=found[0], value=json.loads(found[1]))
 
 
-def _fail(fault: StoreFault, key: str) -> Result[_T, StoreFailure]:
+def _failure(fault: StoreFault, key: str) -> Result[_T, StoreFailure]:
     return Failure(StoreFailure(fault=fault, key=key))
