--- a/packages/standins/src/carobspool_standins/_platform_server_start.py
+++ b/packages/standins/src/carobspool_standins/_platform_server_start.py
@@ -1,4 +1,4 @@
-"""One start of a stand-in of a server: what it listens on and its connections."""
+"""Listener and connections of one start of a stand-in for a server."""
 
 from __future__ import annotations
 
@@ -11,7 +11,12 @@
 
 
 class ServerStart:
-    """One start of a server: its listener and connections, until it crashes or is cut off."""
+    """The listener and connections of a server from one start until it crashes or is cut off.
+
+    Args:
+        started: Unix milliseconds of the start.
+        address: Address to listen on.
+    """
 
     def __init__(self, started: int, address: tuple[str, int]) -> None:
         self.started = started
@@ -19,25 +24,25 @@
         self.address: tuple[str, int] = self.listener.getsockname()
         self._lock = threading.Lock()
         self._sockets: set[socket.socket] = set()
-        self._held: list[tuple[socket.socket, bytes]] | None = None
+        self._held_output: list[tuple[socket.socket, bytes]] | None = None
 
-    def add(self, sock: socket.socket) -> None:
-        """Take a connection that it has accepted."""
+    def add_connection(self, sock: socket.socket) -> None:
+        """Add an accepted connection."""
         with self._lock:
             self._sockets.add(sock)
 
     def send(self, sock: socket.socket, data: bytes) -> None:
-        """Send on a connection, or keep the bytes back while it is cut off."""
+        """Send on a connection, or buffer the bytes while output is held."""
         with self._lock:
-            if self._held is not None:
-                self._held.append((sock, data))
+            if self._held_output is not None:
+                self._held_output.append((sock, data))
                 return
         with contextlib.suppress(OSError):
             sock.sendall(data)
 
     def stop_listening(self) -> None:
-        """Accept nothing more."""
-        # On this system only a shutdown wakes a task that waits in accept.
+        """Close the listener."""
+        # On Linux, only a shutdown wakes a thread that is blocked in accept.
         with contextlib.suppress(OSError):
             self.listener.shutdown(socket.SHUT_RDWR)
         self.listener.close()
@@ -50,20 +55,20 @@
         for sock in sockets:
             with contextlib.suppress(OSError):
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
-                # A task that waits in recv holds the socket open; the shutdown wakes it.
+                # A thread that is blocked in recv keeps the socket open; the shutdown wakes it.
                 sock.shutdown(socket.SHUT_RD)
             sock.close()
 
-    def hold(self) -> None:
-        """Keep all bytes back from now on."""
+    def hold_output(self) -> None:
+        """Buffer all further output instead of sending it."""
         with self._lock:
-            self._held = []
+            self._held_output = []
 
-    def deliver(self) -> None:
-        """Send what was kept back."""
+    def release_output(self) -> None:
+        """Send the buffered output and stop buffering."""
         with self._lock:
-            held = self._held or []
-            self._held = None
+            held = self._held_output or []
+            self._held_output = None
         for sock, data in held:
             with contextlib.suppress(OSError):
                 sock.sendall(data)
--- a/packages/standins/src/carobspool_standins/platform_server.py
+++ b/packages/standins/src/carobspool_standins/platform_server.py
@@ -1,10 +1,10 @@
-"""Stand-in of a server on the users' platform: signed answers, numbered events, and odd bytes.
+"""Stand-in for a server on the users' platform, with signed responses and numbered events.
 
-What it does with a request is a function of the test, written on the raw connection, so that late
-second answers, cut streams and bytes that are no answer can be played exactly.
+A test supplies the function that handles requests. It writes to the raw connection, so that it can
+reproduce late second responses, cut streams and bytes that are not valid HTTP exactly.
 
-A server can start again under its id and address: after a crash, whose connections are reset, or
-after it was cut off, when its connections stay open and say nothing more.
+A server can restart with the same id and address: after a crash, which resets its connections, or
+after it was cut off, which leaves its connections open but silent.
 """
 
 from __future__ import annotations
@@ -24,23 +24,23 @@
 
 @dataclass(frozen=True, slots=True)
 class ServedRequest:
-    """A request as the server has read it."""
+    """A request that the server has received."""
 
     method: str
     target: str
     headers: dict[str, str]
     body: bytes
     started: int = 0
-    """The start of the server that has read it."""
+    """Unix milliseconds of the start of the server that received the request."""
 
     @property
     def request_id(self) -> str:
-        """The caller's id."""
+        """The request id that the caller has sent, or an empty string."""
         return self.headers.get("request-id", "")
 
 
 class ServerConnection:
-    """The connection of one request, for the function that answers it."""
+    """The connection of one request, passed to the function that handles the request."""
 
     def __init__(self, sock: socket.socket, start: ServerStart) -> None:
         self._socket = sock
@@ -48,40 +48,40 @@
         self.closed = False
 
     def send(self, data: bytes) -> None:
-        """Send raw bytes; a peer that has gone is no error."""
+        """Send raw bytes; errors of a closed connection are ignored."""
         self._start.send(self._socket, data)
 
     def answer(
         self, request: ServedRequest, status: int = 200, body: bytes = b"ok", extra: str = ""
     ) -> None:
-        """Send a whole signed answer."""
+        """Send a complete signed response."""
         self.send(answer_bytes(request.request_id, status, body, extra))
 
     def not_run(self, request: ServedRequest, status: int = 503) -> None:
-        """Say that the request was not run."""
+        """Send a response that says that the request was not executed."""
         head = f"HTTP/1.1 {status} No\r\nNot-Executed: 1\r\nRequest-Id: {request.request_id}\r\n"
         self.send(head.encode() + b"Content-Length: 0\r\n\r\n")
 
     def start_events(self, request: ServedRequest) -> None:
-        """Begin a signed stream."""
+        """Send the headers of a signed event stream."""
         head = f"HTTP/1.1 200 OK\r\nRequest-Id: {request.request_id}\r\nServer-Stamp: s\r\n"
         self.send(head.encode() + b"Content-Type: text/event-stream\r\n")
         self.send(b"Transfer-Encoding: chunked\r\n\r\n")
 
     def event(self, number: int, data: str = "") -> None:
-        """Send one whole event."""
+        """Send a complete event as one chunk."""
         self.chunk(f"id: {number}\ndata: {data or f'piece {number}'}\n\n".encode())
 
     def chunk(self, data: bytes) -> None:
-        """Send a chunk of a stream."""
+        """Send a chunk of a chunked body."""
         self.send(b"%x\r\n%b\r\n" % (len(data), data))
 
     def end_events(self) -> None:
-        """End a stream as complete."""
+        """Send the last chunk, which marks the stream as complete."""
         self.send(b"0\r\n\r\n")
 
     def close(self) -> None:
-        """Close the connection in order."""
+        """Shut the connection down and close it."""
         self.closed = True
         with contextlib.suppress(OSError):
             self._socket.shutdown(socket.SHUT_RDWR)
@@ -95,7 +95,7 @@
         self._socket.close()
 
     def peer_left(self, within_s: float) -> bool:
-        """Wait for the peer to close; return whether it did."""
+        """Wait for the peer to close the connection, and return whether it did."""
         self._socket.settimeout(within_s)
         try:
             return not self._socket.recv(1)
@@ -109,13 +109,13 @@
 
 
 def answer_bytes(request_id: str, status: int, body: bytes, extra: str = "") -> bytes:
-    """Return a whole signed answer."""
+    """Return the bytes of a complete signed response."""
     head = f"HTTP/1.1 {status} Done\r\nRequest-Id: {request_id}\r\nServer-Stamp: s\r\n{extra}"
     return head.encode() + b"Content-Length: %d\r\n\r\n" % len(body) + body
 
 
 def stream_events(count: int, *, pause_s: float = 0.0) -> Behaviour:
-    """Return a behaviour that streams numbered events and resumes after the last one received."""
+    """Return a handler that streams numbered events, starting after ``Last-Event-Id``."""
 
     def behave(request: ServedRequest, connection: ServerConnection) -> None:
         connection.start_events(request)
@@ -129,14 +129,16 @@
 
 @dataclass(slots=True)
 class PlatformServer:
-    """A running stand-in.
+    """A running stand-in for a server.
 
     Attributes:
-        instance: Its id.
-        address: Where callers reach it; where it listens, unless a test puts a relay between.
-        behave: What it does with a request.
-        started: Unix milliseconds of its start; 0 is a server that does not tell it.
-        seen: Requests in the order of their arrival, of all its starts.
+        instance: Id of the server.
+        address: Address that callers connect to. The server listens on it, unless a test puts a
+            relay in between.
+        behave: Function that handles a request.
+        started: Unix milliseconds of the latest start; 0 if the server does not publish it.
+        seen: Requests of all starts, in order of arrival.
+        connections: Number of connections accepted over all starts.
     """
 
     instance: str
@@ -146,10 +148,10 @@
     seen: list[ServedRequest] = field(default_factory=list)
     connections: int = 0
     _start: ServerStart | None = None
-    _cut_off: list[ServerStart] = field(default_factory=list)
+    _cut_off_starts: list[ServerStart] = field(default_factory=list)
 
     def registration(self, service: str, *, state: str = "ready", zone: str = "z1") -> object:
-        """Return its entry in the list of servers."""
+        """Return the server's entry in the list of servers."""
         entry: dict[str, object] = {
             "service": service,
             "address": f"{self.address[0]}:{self.address[1]}",
@@ -165,41 +167,41 @@
         return entry
 
     def start(self) -> None:
-        """Start to listen; again under the same id and address after a crash or a cut."""
+        """Start listening; after a crash or `cut_off`, restart with the same id and address."""
         if self._start is None:
             self._start = ServerStart(self.started, self.address)
             self.address = self._start.address
         else:
-            # Later than before, whatever the time of day has done meanwhile.
+            # Above the previous start time, even if the wall clock was set back in the meantime.
             self.started = max(self.started + 1, int(time.time() * 1000))
             self._start = ServerStart(self.started, self._start.address)
         start = self._start
-        threading.Thread(target=_accept, args=(self, start), daemon=True).start()
+        threading.Thread(target=_accept_connections, args=(self, start), daemon=True).start()
 
     def crash(self) -> None:
-        """End at once; open connections are reset and new ones refused."""
-        start = self._current()
+        """Stop at once: reset open connections and refuse new ones."""
+        start = self._current_start()
         start.stop_listening()
         start.reset_all()
 
     def cut_off(self) -> None:
-        """Say nothing more on any connection and accept none; nobody is told."""
-        start = self._current()
-        start.hold()
+        """Go silent on all connections and accept no new ones; open ones stay open."""
+        start = self._current_start()
+        start.hold_output()
         start.stop_listening()
-        self._cut_off.append(start)
+        self._cut_off_starts.append(start)
 
     def deliver_late(self) -> None:
-        """Send what starts that were cut off have answered meanwhile."""
-        for start in self._cut_off:
-            start.deliver()
-        self._cut_off.clear()
+        """Send the output that was held since the server was cut off."""
+        for start in self._cut_off_starts:
+            start.release_output()
+        self._cut_off_starts.clear()
 
     def close(self) -> None:
-        """Stop to listen."""
-        self._current().stop_listening()
+        """Stop listening."""
+        self._current_start().stop_listening()
 
-    def _current(self) -> ServerStart:
+    def _current_start(self) -> ServerStart:
         assert self._start is not None, "not started"
         return self._start
 
@@ -211,12 +213,12 @@
     """Run a server on loopback.
 
     Args:
-        instance: Its id.
-        behave: What it does with a request.
-        started: Unix milliseconds of its first start; now by default, 0 to tell none.
+        instance: Id of the server.
+        behave: Function that handles a request.
+        started: Unix milliseconds of the first start; now by default, 0 to publish none.
     """
-    first = int(time.time() * 1000) if started is None else started
-    server = PlatformServer(instance, ("127.0.0.1", 0), behave, first)
+    first_start = int(time.time() * 1000) if started is None else started
+    server = PlatformServer(instance, ("127.0.0.1", 0), behave, first_start)
     server.start()
     try:
         yield server
@@ -224,23 +226,23 @@
         server.close()
 
 
-def _accept(server: PlatformServer, start: ServerStart) -> None:
+def _accept_connections(server: PlatformServer, start: ServerStart) -> None:
     while True:
         try:
             sock, _ = start.listener.accept()
         except OSError:
             return
         server.connections += 1
-        start.add(sock)
-        threading.Thread(target=_serve, args=(server, start, sock), daemon=True).start()
+        start.add_connection(sock)
+        threading.Thread(target=_serve_connection, args=(server, start, sock), daemon=True).start()
 
 
-def _serve(server: PlatformServer, start: ServerStart, sock: socket.socket) -> None:
+def _serve_connection(server: PlatformServer, start: ServerStart, sock: socket.socket) -> None:
     http = h11.Connection(h11.SERVER)
     with contextlib.suppress(OSError):
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     while True:
-        request = _read(http, sock, start.started)
+        request = _read_request(http, sock, start.started)
         if request is None:
             sock.close()
             return
@@ -252,13 +254,13 @@
             server.behave(request, connection)
         if connection.closed:
             return
-        rest = http.trailing_data[0]
+        trailing = http.trailing_data[0]
         http = h11.Connection(h11.SERVER)
-        if rest:
-            http.receive_data(rest)
+        if trailing:
+            http.receive_data(trailing)
 
 
-def _read(http: h11.Connection, sock: socket.socket, started: int) -> ServedRequest | None:
+def _read_request(http: h11.Connection, sock: socket.socket, started: int) -> ServedRequest | None:
     head: h11.Request | None = None
     body = b""
     while True:
