--- a/packages/standins/src/carobspool_standins/_main.py
+++ b/packages/standins/src/carobspool_standins/_main.py
@@ -1,4 +1,4 @@
-"""The common command line of the stand-ins."""
+"""Command line shared by the stand-ins."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 def run_standin(
     model: type[SettingsT], make_application: Callable[[SettingsT], WsgiApplication]
 ) -> int:
-    """Serve a stand-in with the settings file named on the command line.
+    """Serve a stand-in with the settings file given on the command line.
 
     Args:
-        model: Model of its settings.
-        make_application: Builds the stand-in from its settings.
+        model: Settings model of the stand-in.
+        make_application: Creates the WSGI application from the settings.
 
     Returns:
         The exit code.
--- a/packages/standins/src/carobspool_standins/_openai_calls.py
+++ b/packages/standins/src/carobspool_standins/_openai_calls.py
@@ -1,4 +1,4 @@
-"""The calls of the OpenAI-compatible surface that the tools make."""
+"""Client calls to the OpenAI-compatible API, for the quickstart and the load tool."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 from carobspool_standins.errors import StandinError
 
 CHAT_PATH = "/v1/chat/completions"
-DATA_MARK = b"data: "
-DONE_MARK = b"[DONE]"
+DATA_PREFIX = b"data: "
+DONE_DATA = b"[DONE]"
 BATCH_ENDINGS = ("completed", "failed", "cancelled", "expired")
 
 
 class CallFailed(StandinError):
-    """An entry refused a call, or its answer is not what the surface promises."""
+    """An entry rejected a call, or its response breaks the contract of the API."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StreamedAnswer:
-    """A streamed chat completion that came to its end."""
+    """A chat completion whose stream ended normally."""
 
     text: str
     tokens: int
@@ -34,40 +34,40 @@
 
 
 class EventReader:
-    """Cuts a stream of server-sent events into the JSON values of its events.
+    """Parses a stream of server-sent events into the JSON values of its events.
 
     Args:
-        on_event: Called with each value.
+        on_event: Called with the value of each event.
     """
 
     def __init__(self, on_event: Callable[[Any], None]) -> None:
         self._on_event = on_event
-        self._rest = b""
+        self._buffer = b""
         self._done = False
 
     @property
     def done(self) -> bool:
-        """Whether the last mark of the stream has come."""
+        """Whether the ``[DONE]`` event has been received."""
         return self._done
 
     def feed(self, data: bytes) -> None:
-        """Take the next bytes."""
-        *whole, self._rest = (self._rest + data).split(b"\n\n")
-        for event in whole:
-            if not event.startswith(DATA_MARK):
+        """Parse the next bytes, and report each event that they complete."""
+        *complete, self._buffer = (self._buffer + data).split(b"\n\n")
+        for event in complete:
+            if not event.startswith(DATA_PREFIX):
                 continue
-            value = event[len(DATA_MARK) :]
-            if value == DONE_MARK:
+            value = event[len(DATA_PREFIX) :]
+            if value == DONE_DATA:
                 self._done = True
                 continue
             self._on_event(json.loads(value))
 
 
 def require_ok(reply: Reply, what: str) -> Reply:
-    """Return the reply if it is a success.
+    """Return the reply if its status is 200.
 
     Raises:
-        CallFailed: If it is not.
+        CallFailed: If it has another status.
     """
     if reply.status != 200:
         raise CallFailed(f"{what}: {reply.status} {reply.text[:500]}")
@@ -77,17 +77,17 @@
 def stream_chat(
     client: HttpClient, body: Mapping[str, Any], on_text: Callable[[str], None] | None = None
 ) -> StreamedAnswer:
-    """Stream a chat completion to its end.
+    """Stream a chat completion until it ends.
 
     Raises:
-        CallFailed: If it is refused, or the stream does not end as it should.
+        CallFailed: If it is rejected, fails or ends without a finish reason and ``[DONE]``.
     """
     pieces: list[str] = []
     reasons: list[str] = []
     errors: list[Any] = []
-    raw: list[bytes] = []
+    received: list[bytes] = []
 
-    def take(event: Any) -> None:
+    def handle_event(event: Any) -> None:
         if "error" in event:
             errors.append(event["error"])
             return
@@ -100,15 +100,15 @@
             if choice["finish_reason"]:
                 reasons.append(choice["finish_reason"])
 
-    reader = EventReader(take)
+    reader = EventReader(handle_event)
 
     def receive(data: bytes) -> None:
-        raw.append(data)
+        received.append(data)
         reader.feed(data)
 
     reply = client.call("POST", CHAT_PATH, json_body={**body, "stream": True}, on_data=receive)
     if reply.status != 200 or errors:
-        raise CallFailed(f"chat completion: {reply.status} {b''.join(raw)[-500:]!r}")
+        raise CallFailed(f"chat completion: {reply.status} {b''.join(received)[-500:]!r}")
     if not reader.done or len(reasons) != 1:
         raise CallFailed(f"the stream ended early, after {len(pieces)} tokens")
     return StreamedAnswer(text="".join(pieces), tokens=len(pieces), finish_reason=reasons[0])
@@ -126,7 +126,7 @@
 def create_batch(
     client: HttpClient, file_id: str, *, headers: Mapping[str, str] | None = None
 ) -> str:
-    """Create a batch job of an uploaded file and return its id."""
+    """Create a batch job for an uploaded file and return its id."""
     body = {
         "input_file_id": file_id,
         "endpoint": CHAT_PATH,
@@ -137,11 +137,11 @@
 
 
 def read_batch(client: HttpClient, batch_id: str) -> Any:
-    """Return a batch job as it stands."""
+    """Return the current state of a batch job."""
     return require_ok(client.call("GET", f"/v1/batches/{batch_id}"), "batch status").json
 
 
 def read_results(client: HttpClient, file_id: str) -> list[Any]:
-    """Return the lines of a result file."""
+    """Return the JSON values of the lines of a result file."""
     reply = require_ok(client.call("GET", f"/v1/files/{file_id}/content"), "results")
     return [json.loads(line) for line in reply.text.splitlines()]
--- a/packages/standins/src/carobspool_standins/_relay_link.py
+++ b/packages/standins/src/carobspool_standins/_relay_link.py
@@ -1,4 +1,4 @@
-"""TCP links that delay, hold or cut what passes through them."""
+"""TCP relay that delays, holds or cuts its connections."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 from carobspool_standins._faults import FaultBoard, Faults
 
-PIECE_BYTES = 262_144
+READ_BYTES = 262_144
 BACKLOG = 128
 
 
@@ -20,10 +20,10 @@
     """Faults of a relay.
 
     Attributes:
-        delay_ms: One-way delay in place of the one of the settings.
-        hold: Nothing passes, as in a partition; it goes on when the fault ends.
-        hold_answers: Nothing passes from the target back, as when a link is cut one way.
-        cut: Open connections are closed and new ones are closed at once.
+        delay_ms: One-way delay, which overrides that of the settings.
+        hold: Whether data is held in both directions, as in a partition, until the fault ends.
+        hold_answers: Whether data from the target is held, as when a link is down sock way.
+        cut: Whether open connections are closed, and new ones closed at once.
     """
 
     delay_ms: float | None = None
@@ -33,13 +33,13 @@
 
 
 class Relay:
-    """Passes the connections of one port on to another, with a delay each way.
+    """Forwards the connections of sock port to another, with a delay in each direction.
 
     Args:
-        listener: Socket that listens.
+        listener: Listening socket.
         target: Address and port to connect to.
-        delay_ms: Returns the one-way delay in force.
-        board: Faults in force.
+        delay_ms: Returns the current sock-way delay.
+        board: Active faults.
     """
 
     def __init__(
@@ -55,85 +55,85 @@
         self._board = board
         self._lock = threading.Lock()
         self._open: set[socket.socket] = set()
-        _start(self._accept)
+        _start_thread(self._accept_connections)
 
     def cut(self) -> None:
         """Close all open connections."""
         with self._lock:
             sockets = list(self._open)
-        for one in sockets:
-            _shut(one)
+        for sock in sockets:
+            _shut_down(sock)
 
-    def _accept(self) -> None:
+    def _accept_connections(self) -> None:
         while True:
-            near, _ = self._listener.accept()
+            client, _ = self._listener.accept()
             if self._board.current.cut:
-                near.close()
+                client.close()
                 continue
-            _start(functools.partial(self._connect, near))
+            _start_thread(functools.partial(self._relay_connection, client))
 
-    def _connect(self, near: socket.socket) -> None:
+    def _relay_connection(self, client: socket.socket) -> None:
         try:
-            far = socket.create_connection(self._target)
+            server = socket.create_connection(self._target)
         except OSError:
-            near.close()
+            client.close()
             return
-        for one in (near, far):
-            one.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        for sock in (client, server):
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         with self._lock:
-            self._open |= {near, far}
-        back = _start(lambda: self._pump(far, near, answers=True))
-        self._pump(near, far, answers=False)
-        back.join()
+            self._open |= {client, server}
+        answer_thread = _start_thread(lambda: self._forward(server, client, answers=True))
+        self._forward(client, server, answers=False)
+        answer_thread.join()
         with self._lock:
-            self._open -= {near, far}
-        near.close()
-        far.close()
+            self._open -= {client, server}
+        client.close()
+        server.close()
 
-    def _pump(self, source: socket.socket, sink: socket.socket, *, answers: bool) -> None:
-        pieces: queue.SimpleQueue[tuple[float, bytes]] = queue.SimpleQueue()
-        writer = _start(lambda: self._write(pieces, sink, answers=answers))
+    def _forward(self, source: socket.socket, sink: socket.socket, *, answers: bool) -> None:
+        chunks: queue.SimpleQueue[tuple[float, bytes]] = queue.SimpleQueue()
+        writer = _start_thread(lambda: self._write_delayed(chunks, sink, answers=answers))
         while True:
             try:
-                piece = source.recv(PIECE_BYTES)
+                chunk = source.recv(READ_BYTES)
             except OSError:
-                piece = b""
-            pieces.put((time.monotonic() + self._delay_ms() / 1000.0, piece))
-            if not piece:
+                chunk = b""
+            chunks.put((time.monotonic() + self._delay_ms() / 1000.0, chunk))
+            if not chunk:
                 break
         writer.join()
 
-    def _write(
+    def _write_delayed(
         self,
-        pieces: queue.SimpleQueue[tuple[float, bytes]],
+        chunks: queue.SimpleQueue[tuple[float, bytes]],
         sink: socket.socket,
         *,
         answers: bool,
     ) -> None:
         while True:
-            due, piece = pieces.get()
-            time.sleep(max(0.0, due - time.monotonic()))
+            send_at, chunk = chunks.get()
+            time.sleep(max(0.0, send_at - time.monotonic()))
             self._board.wait_while(lambda faults: _is_held(faults, answers=answers))
-            if not piece:
+            if not chunk:
                 with contextlib.suppress(OSError):
                     sink.shutdown(socket.SHUT_WR)
                 return
             try:
-                sink.sendall(piece)
+                sink.sendall(chunk)
             except OSError:
-                _shut(sink)
+                _shut_down(sink)
 
 
 def _is_held(faults: RelayFaults, *, answers: bool) -> bool:
     return not faults.cut and (faults.hold or (answers and faults.hold_answers))
 
 
-def _start(task: Callable[[], None]) -> threading.Thread:
+def _start_thread(task: Callable[[], None]) -> threading.Thread:
     thread = threading.Thread(target=task, daemon=True)
     thread.start()
     return thread
 
 
-def _shut(one: socket.socket) -> None:
+def _shut_down(sock: socket.socket) -> None:
     with contextlib.suppress(OSError):
-        one.shutdown(socket.SHUT_RDWR)
+        sock.shutdown(socket.SHUT_RDWR)
--- a/packages/standins/src/carobspool_standins/_settings.py
+++ b/packages/standins/src/carobspool_standins/_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a stand-in: a JSON file with comments, validated at the border."""
+"""Settings of a stand-in, loaded from a JSON file with comments and validated."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 class Settings(BaseModel):
-    """Base of validated settings: unknown keys are refused, values never change."""
+    """Base of validated settings: unknown keys are rejected, instances are immutable."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
 class ServerSettings(Settings):
-    """Where a stand-in listens.
+    """Base of a stand-in's settings: the address on which it listens.
 
     Attributes:
         port: TCP port; 0 lets the operating system choose one.
@@ -33,7 +33,7 @@
 
 
 def load_settings(path: Path, model: type[SettingsT]) -> SettingsT:
-    """Read and validate a settings file.
+    """Load and validate a settings file.
 
     Args:
         path: JSON file with comments.
--- a/packages/standins/src/carobspool_standins/ports.py
+++ b/packages/standins/src/carobspool_standins/ports.py
@@ -1,4 +1,4 @@
-"""Choice of loopback ports for processes that are started side by side."""
+"""Reservation of free loopback ports for processes that run side by side."""
 
 from __future__ import annotations
 
@@ -8,31 +8,31 @@
 from carobspool_standins.errors import ClusterError
 
 LOOPBACK = "127.0.0.1"
-# Below the range from which the operating system takes ports for outgoing connections, so that
-# none of those can take a port between its choice here and its use.
+# The range lies below the operating system's ephemeral ports, so that an outgoing connection can't
+# take a port between its choice here and its use.
 LOWEST_PORT = 20_000
-PORTS_IN_BLOCK = 50
+PORTS_PER_BLOCK = 50
 HIGHEST_PORT = 32_000
 
 
 class PortChooser:
-    """Chooses loopback ports that are free; never the same twice, nor another chooser's.
+    """Chooses free loopback ports, never the same twice nor one reserved by another chooser.
 
-    Ports come in blocks. A block is held by a socket in Linux's abstract namespace, which ends with
-    its process: two test runs on one machine would otherwise choose the same free port in the time
-    before either has listened on it.
+    Ports are reserved in blocks. The lock of a block is a bound socket in Linux's abstract
+    namespace, which disappears with its process. Without it, two test runs on one machine could
+    choose the same free port before either listens on it.
     """
 
     def __init__(self) -> None:
         self._block: range = range(0)
         self._next = 0
-        self._holders: list[socket.socket] = []
+        self._block_locks: list[socket.socket] = []
 
     def choose(self) -> int:
         """Return a free port.
 
         Raises:
-            ClusterError: If there is none.
+            ClusterError: If no block of ports is left.
         """
         while True:
             while self._next < self._block.stop:
@@ -40,28 +40,28 @@
                 self._next += 1
                 if _is_free(port):
                     return port
-            self._take_block()
+            self._reserve_block()
 
     def close(self) -> None:
-        """Give the ports back to other choosers."""
-        for holder in self._holders:
-            holder.close()
-        self._holders.clear()
+        """Release all reserved ports, so that other choosers can use them."""
+        for block_lock in self._block_locks:
+            block_lock.close()
+        self._block_locks.clear()
         self._block = range(0)
         self._next = 0
 
-    def _take_block(self) -> None:
-        blocks = list(range(LOWEST_PORT, HIGHEST_PORT - PORTS_IN_BLOCK, PORTS_IN_BLOCK))
+    def _reserve_block(self) -> None:
+        blocks = list(range(LOWEST_PORT, HIGHEST_PORT - PORTS_PER_BLOCK, PORTS_PER_BLOCK))
         random.shuffle(blocks)
         for start in blocks:
-            holder = socket.socket(socket.AF_UNIX)
+            block_lock = socket.socket(socket.AF_UNIX)
             try:
-                holder.bind(f"\0carobspool-ports-{start}")
+                block_lock.bind(f"\0carobspool-ports-{start}")
             except OSError:
-                holder.close()
+                block_lock.close()
                 continue
-            self._holders.append(holder)
-            self._block = range(start, start + PORTS_IN_BLOCK)
+            self._block_locks.append(block_lock)
+            self._block = range(start, start + PORTS_PER_BLOCK)
             self._next = start
             return
         raise ClusterError("no free port")
--- a/packages/standins/src/carobspool_standins/relay.py
+++ b/packages/standins/src/carobspool_standins/relay.py
@@ -1,6 +1,6 @@
-"""Network between failure domains: ``python -m carobspool_standins.relay SETTINGS``.
+"""Simulated network between failure domains: ``python -m carobspool_standins.relay SETTINGS``.
 
-It passes TCP connections on with a one-way delay, and can hold or cut them, as in a partition.
+It forwards TCP connections with a one-way delay, and can hold or cut them, as in a partition.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class RelayRoute(Settings):
-    """One port that is passed on to another."""
+    """A listening port and the port to which its connections are forwarded."""
 
     port: int = Field(ge=1, le=65535)
     target: int = Field(ge=1, le=65535)
@@ -28,7 +28,7 @@
 
     Attributes:
         delay_ms: One-way delay.
-        routes: Ports that are passed on.
+        routes: Ports to forward.
     """
 
     delay_ms: float = Field(default=1.5, ge=0)
@@ -36,16 +36,16 @@
 
 
 def make_application(settings: RelaySettings) -> WsgiApplication:
-    """Listen on every route and return the application that switches the faults."""
+    """Start a relay for each route and return the WSGI application that controls the faults."""
     relays: list[Relay] = []
 
-    def changed() -> None:
+    def cut_if_faulty() -> None:
         if not board.current.cut:
             return
         for relay in relays:
             relay.cut()
 
-    board = FaultBoard(RelayFaults, on_change=changed)
+    board = FaultBoard(RelayFaults, on_change=cut_if_faulty)
 
     def delay_ms() -> float:
         delay = board.current.delay_ms
