--- a/packages/standins/src/carobspool_standins/_answers.py
+++ b/packages/standins/src/carobspool_standins/_answers.py
@@ -1,4 +1,4 @@
-"""Requests and answers of the engine: what a prompt is and which text answers it."""
+"""Parsing of the engine's requests and generation of the answers to them."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 _WORDS = tuple(_VOCABULARY.split())
 
 
-class InvalidBody(StandinError):
-    """A request body is not what the endpoint takes."""
+class InvalidRequestBody(StandinError):
+    """A request body is not valid for the endpoint."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -36,12 +36,12 @@
 
     Attributes:
         model: Name of the model.
-        text: All messages as one text.
+        text: All messages, concatenated.
         tokens: Estimated prompt tokens.
-        max_tokens: Bound of the answer, if given.
-        min_tokens: Least length of the answer.
-        stream: Whether server-sent events are wanted.
-        chat: Whether it came as a chat completion.
+        max_tokens: Maximum length of the answer, if given.
+        min_tokens: Minimum length of the answer.
+        stream: Whether the answer is sent as server-sent events.
+        chat: Whether the request is a chat completion.
     """
 
     model: str
@@ -55,17 +55,17 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PlannedAnswer:
-    """The whole answer, known from the start; ``finish_reason`` is how it ends if not cancelled."""
+    """A complete answer, generated in advance; ``finish_reason`` holds unless it is cancelled."""
 
     words: tuple[str, ...]
     finish_reason: str
 
 
 def parse_prompt(body: bytes, *, chat: bool) -> Prompt:
-    """Read a request body.
+    """Parse a request body.
 
     Raises:
-        InvalidBody: If it is not JSON or lacks what the endpoint needs.
+        InvalidRequestBody: If it is not JSON or lacks a field that the endpoint needs.
     """
     try:
         value = json.loads(body)
@@ -82,44 +82,51 @@
             chat=chat,
         )
     except (ValueError, KeyError, TypeError, AttributeError) as error:
-        raise InvalidBody(f"{type(error).__name__}: {error}") from error
+        raise InvalidRequestBody(f"{type(error).__name__}: {error}") from error
 
 
-def plan_answer(prompt: Prompt, least: int, most: int) -> PlannedAnswer:
+def plan_answer(prompt: Prompt, shortest: int, longest: int) -> PlannedAnswer:
     """Return the answer: a pure function of the model and the text of the prompt.
 
+    Its length is also subject to the bounds of the request, so every run of a request gives the
+    same answer.
+
     Args:
         prompt: The request.
-        least: Least natural length in tokens.
-        most: Greatest natural length in tokens.
+        shortest: Minimum length in tokens of an answer that the request does not bound.
+        longest: Maximum length in tokens of an answer that the request does not bound.
     """
     digest = hashlib.sha256(f"{prompt.model}\n{prompt.text}".encode()).digest()
-    source = random.Random(digest)
-    natural = max(source.randint(least, max(least, most)), prompt.min_tokens)
-    length = natural if prompt.max_tokens is None else min(natural, prompt.max_tokens)
-    words = source.choices(_WORDS, k=max(1, length))
-    pieces = [words[0], *(f" {word}" for word in words[1:])]
+    rng = random.Random(digest)
+    unbounded_length = max(rng.randint(shortest, max(shortest, longest)), prompt.min_tokens)
+    length = (
+        unbounded_length if prompt.max_tokens is None else min(unbounded_length, prompt.max_tokens)
+    )
+    words = rng.choices(_WORDS, k=max(1, length))
+    tokens = [words[0], *(f" {word}" for word in words[1:])]
     return PlannedAnswer(
-        words=tuple(pieces), finish_reason="stop" if length == natural else "length"
+        words=tuple(tokens), finish_reason="stop" if length == unbounded_length else "length"
     )
 
 
-def random_words(source: random.Random, characters: int) -> str:
-    """Return a text of that many characters, drawn from the words of the answers."""
+def random_words(rng: random.Random, characters: int) -> str:
+    """Return a text of ``characters`` characters, drawn from the vocabulary of the answers."""
     parts: list[str] = []
     length = 0
     while length < characters:
-        word = source.choice(_WORDS)
+        word = rng.choice(_WORDS)
         parts.append(word)
         length += len(word) + 1
     return " ".join(parts)[:characters]
 
 
 def _chat_text(messages: list[dict[str, Any]]) -> str:
-    return "".join(f"{message['role']}: {_content(message['content'])}\n" for message in messages)
+    return "".join(
+        f"{message['role']}: {_content_text(message['content'])}\n" for message in messages
+    )
 
 
-def _content(content: Any) -> str:
+def _content_text(content: Any) -> str:
     if isinstance(content, str):
         return content
     return "".join(part["text"] for part in content if part["type"] == "text")
--- a/packages/standins/src/carobspool_standins/_engine.py
+++ b/packages/standins/src/carobspool_standins/_engine.py
@@ -1,4 +1,4 @@
-"""The engine behind its HTTP views: runs, cancels and resumes streams, and crashes on demand."""
+"""The engine that the HTTP views call: runs, cancels and resumes streams, and crashes on demand."""
 
 from __future__ import annotations
 
@@ -21,29 +21,37 @@
 from carobspool_standins.errors import StandinError
 
 CRASH_EXIT_CODE = 70
-HELD_STREAMS = 5000
+MAX_RETAINED_JOBS = 5000
 
 
-class BadToken(StandinError):
-    """A resume asks for a token that was not produced yet."""
+class InvalidResumeToken(StandinError):
+    """A resume starts after a token that was not produced yet."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Job:
-    """A request in progress: its stream, its request and its line in the record."""
+    """A request in progress.
+
+    Attributes:
+        stream: Its run on the simulated GPU.
+        prompt: The parsed request.
+        answer: The tokens that it produces if it isn't cancelled.
+        run: Its entry in the run record.
+        first_token: Index of the first token to send; above 0 for a resumed stream.
+    """
 
     stream: Stream
     prompt: Prompt
     answer: PlannedAnswer
     run: Run
-    first: int = 0
+    first_token: int = 0
 
 
 class Engine:
     """One simulated engine.
 
     Args:
-        settings: Its settings.
+        settings: Settings of the engine.
     """
 
     def __init__(self, settings: EngineSettings) -> None:
@@ -63,11 +71,11 @@
 
     @property
     def is_down(self) -> bool:
-        """Whether the engine refuses every connection at present."""
+        """Whether the engine currently refuses every connection."""
         return self.board.current.refuse or time.monotonic() < self._down_until
 
-    def read(self, stream_id: str | None, prompt: Prompt, body: bytes) -> Job:
-        """Record a request that was read whole, without running it yet."""
+    def register(self, stream_id: str | None, prompt: Prompt, body: bytes) -> Job:
+        """Add a completely received request to the run record, without running it yet."""
         answer = plan_answer(
             prompt, self._settings.answer_tokens_min, self._settings.answer_tokens_max
         )
@@ -79,64 +87,73 @@
         return Job(stream=stream, prompt=prompt, answer=answer, run=run)
 
     def start(self, job: Job) -> None:
-        """Queue a request that was read."""
-        self._hold(job)
+        """Queue a registered request, and crash if it contains the fault's ``crash_marker``."""
+        self._retain_job(job)
         self.gpu.submit(job.stream)
         marker = self.board.current.crash_marker
         if marker and marker in job.prompt.text:
             self._crash()
 
     def fails_at_random(self) -> bool:
-        """Whether the fault ``error_rate`` hits this request."""
+        """Return whether the fault ``error_rate`` applies to this request."""
         rate = self.board.current.error_rate
         with self._lock:
             return rate > 0 and self._random.random() < rate
 
     def cancel(self, stream_id: str, *, keep_kv: bool) -> tuple[int, bool] | None:
-        """Cancel a stream by its id; ``None`` when there is none in progress."""
-        job = self._find(stream_id)
+        """Cancel a stream.
+
+        Returns:
+            The tokens it produced and whether its KV was kept; ``None`` if no such stream is in
+            progress.
+        """
+        job = self._find_job(stream_id)
         if job is None or job.stream.end is not None:
             return None
         tokens, kept = self.gpu.cancel(job.stream, StreamEnd.CANCELLED, keep_kv=keep_kv)
         return tokens, kept
 
     def resume(self, stream_id: str, from_token: int) -> Job | None:
-        """Go on with a kept stream; ``None`` when its KV is not kept.
+        """Continue a cancelled stream whose KV was kept; return ``None`` if it was not.
 
         Raises:
-            BadToken: If ``from_token`` was not produced yet.
+            InvalidResumeToken: If ``from_token`` was not produced yet.
         """
-        before = self._find(stream_id)
-        if before is None:
+        previous = self._find_job(stream_id)
+        if previous is None:
             return None
-        if not 0 <= from_token <= before.stream.produced:
-            raise BadToken(f"{before.stream.produced} tokens were produced")
-        stream = self.gpu.take_kept(stream_id)
+        if not 0 <= from_token <= previous.stream.produced:
+            raise InvalidResumeToken(f"{previous.stream.produced} tokens were produced")
+        stream = self.gpu.pop_kept_stream(stream_id)
         if stream is None:
             return None
-        run = self.record.begin(stream_id, before.run.model, before.run.digest, resumed=True)
+        run = self.record.begin(stream_id, previous.run.model, previous.run.digest, resumed=True)
         job = Job(
-            stream=stream, prompt=before.prompt, answer=before.answer, run=run, first=from_token
+            stream=stream,
+            prompt=previous.prompt,
+            answer=previous.answer,
+            run=run,
+            first_token=from_token,
         )
-        self._hold(job)
+        self._retain_job(job)
         self.gpu.submit(stream)
         return job
 
     def finish(self, job: Job, end: StreamEnd) -> None:
-        """Note the end of a run; a stream whose client has gone is stopped."""
+        """Record the end of a run, and stop the stream if its client has disconnected."""
         if end is StreamEnd.ABORTED:
             self.gpu.cancel(job.stream, end, keep_kv=False)
         outcome = StreamEnd.ABORTED if end is StreamEnd.CRASHED else end
         self.record.end(job.run, outcome.value, job.stream.produced)
 
-    def _hold(self, job: Job) -> None:
+    def _retain_job(self, job: Job) -> None:
         with self._lock:
             self._jobs[job.stream.id] = job
             self._jobs.move_to_end(job.stream.id)
-            while len(self._jobs) > HELD_STREAMS:
+            while len(self._jobs) > MAX_RETAINED_JOBS:
                 self._jobs.popitem(last=False)
 
-    def _find(self, stream_id: str) -> Job | None:
+    def _find_job(self, stream_id: str) -> Job | None:
         with self._lock:
             return self._jobs.get(stream_id)
 
@@ -144,7 +161,7 @@
         faults = self.board.current
         if faults.crash_mode == "exit":
             os._exit(CRASH_EXIT_CODE)
-        pause = self._settings.restart_ms if faults.restart_ms is None else faults.restart_ms
-        self._down_until = time.monotonic() + pause / 1000.0
+        downtime_ms = self._settings.restart_ms if faults.restart_ms is None else faults.restart_ms
+        self._down_until = time.monotonic() + downtime_ms / 1000.0
         self.deployment.restart()
         self.gpu.crash()
--- a/packages/standins/src/carobspool_standins/_engine_orders.py
+++ b/packages/standins/src/carobspool_standins/_engine_orders.py
@@ -1,4 +1,4 @@
-"""Orders to the engine: models, adapters, versions and role, with or without a fencing check."""
+"""Orders that change the engine's models, adapters, versions and role, optionally fenced."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 NO_FENCE: Fence = (0, 0)
 
 
-class OldFence(StandinError):
-    """An order carries a fencing number below the highest one seen.
+class StaleFence(StandinError):
+    """An order has no fencing number, or one below the highest that the engine has accepted.
 
     Args:
-        highest: The highest one.
+        highest: The highest fencing number accepted.
     """
 
     def __init__(self, highest: Fence) -> None:
@@ -32,7 +32,7 @@
 
 
 class Order(Settings):
-    """An order as it is posted."""
+    """An order as posted to ``/orders``."""
 
     model_config = ConfigDict(extra="ignore", frozen=True)
 
@@ -56,7 +56,15 @@
 
 @dataclass(slots=True, kw_only=True)
 class ModelState:
-    """A model at the engine; ``change`` counts its orders, so that a late load can be told."""
+    """A model at the engine.
+
+    Attributes:
+        version: Version of its weights.
+        adapters: Adapters loaded on it.
+        ready: Whether its weights are loaded.
+        change: Number of the order that set this state; a load that finishes after a later order
+            is recognised by it.
+    """
 
     version: str
     adapters: tuple[str, ...]
@@ -65,16 +73,16 @@
 
 
 class Deployment:
-    """What runs on the engine, and the orders that change it.
+    """The models and role of the engine, and the orders that change them.
 
     Args:
-        settings: What runs at the start and how orders are checked.
+        settings: Initial models and role, and how orders are checked.
     """
 
     def __init__(self, settings: EngineSettings) -> None:
         self._settings = settings
         self._lock = threading.Lock()
-        self._changes = 0
+        self._change_count = 0
         self._models: dict[str, ModelState] = {}
         self._role = settings.role
         self._fence = NO_FENCE
@@ -82,7 +90,7 @@
 
     @property
     def state(self) -> dict[str, Any]:
-        """What runs, in the shape of ``GET /state``."""
+        """The models, role and latest fencing number, in the format of ``GET /state``."""
         with self._lock:
             models = {
                 name: {
@@ -95,15 +103,15 @@
             return {"models": models, "role": self._role, "fence": list(self._fence)}
 
     def restart(self) -> None:
-        """Return to what ran at the start; fencing numbers are forgotten as well."""
+        """Restore the initial models and role, and forget the fencing number."""
         with self._lock:
-            self._changes += 1
+            self._change_count += 1
             self._models = {
                 model.name: ModelState(
                     version=model.version,
                     adapters=model.adapters,
                     ready=True,
-                    change=self._changes,
+                    change=self._change_count,
                 )
                 for model in self._settings.models
             }
@@ -111,7 +119,7 @@
             self._fence = NO_FENCE
 
     def is_ready(self, name: str) -> bool | None:
-        """Whether a model (or ``model:adapter``) is ready; ``None`` when it is not here."""
+        """Return whether a model (or ``model:adapter``) is ready; ``None`` if not deployed."""
         base, _, adapter = name.partition(":")
         with self._lock:
             model = self._models.get(base)
@@ -120,40 +128,40 @@
             return model.ready
 
     def execute(self, order: Order) -> None:
-        """Carry out an order; a load returns when the model is ready.
+        """Execute an order; a load order blocks until the model is ready.
 
         Raises:
-            OldFence: If fencing is checked and the order's number is old or missing.
-            LoadFailure: If the weights did not come; the state is as before.
+            StaleFence: If fencing is checked and the order's number is stale or missing.
+            LoadFailure: If the weights can't be fetched; the previous state is restored.
         """
         with self._lock:
             self._check_fence(order)
-            self._changes += 1
-            change = self._changes
+            self._change_count += 1
+            change = self._change_count
             if order.order != "load":
-                self._change_at_once(order)
+                self._apply_immediately(order)
                 return
             assert order.model is not None
-            before = self._models.get(order.model)
-            adapters = before.adapters if before is not None else ()
+            previous = self._models.get(order.model)
+            adapters = previous.adapters if previous is not None else ()
             self._models[order.model] = ModelState(
                 version=order.version, adapters=adapters, ready=False, change=change
             )
         try:
-            self._fetch_weights(order.model, order.version)
+            self._download_weights(order.model, order.version)
         except LoadFailure:
-            self._finish_load(order.model, change, before)
+            self._finish_load(order.model, change, previous)
             raise
         ready = ModelState(version=order.version, adapters=adapters, ready=True, change=change)
         self._finish_load(order.model, change, ready)
 
     def _check_fence(self, order: Order) -> None:
         if self._settings.check_fence and (order.fence is None or order.fence < self._fence):
-            raise OldFence(self._fence)
+            raise StaleFence(self._fence)
         if order.fence is not None:
             self._fence = order.fence
 
-    def _change_at_once(self, order: Order) -> None:
+    def _apply_immediately(self, order: Order) -> None:
         if order.order == "role" and order.role is not None:
             self._role = order.role
             return
@@ -168,15 +176,15 @@
 
     def _finish_load(self, name: str, change: int, state: ModelState | None) -> None:
         with self._lock:
-            present = self._models.get(name)
-            if present is None or present.change != change:
-                return  # A later order decided about this model meanwhile.
+            current = self._models.get(name)
+            if current is None or current.change != change:
+                return  # A later order has changed this model in the meantime.
             if state is None:
                 del self._models[name]
                 return
             self._models[name] = state
 
-    def _fetch_weights(self, model: str, version: str) -> None:
+    def _download_weights(self, model: str, version: str) -> None:
         store = self._settings.weight_store
         if store is None:
             time.sleep(self._settings.model_load_ms * self._settings.time_scale / 1000.0)
--- a/packages/standins/src/carobspool_standins/_engine_record.py
+++ b/packages/standins/src/carobspool_standins/_engine_record.py
@@ -1,4 +1,4 @@
-"""The engine's append-only record of runs, from which tests check what was executed."""
+"""Append-only record of the engine's runs; tests read it to check what was executed."""
 
 from __future__ import annotations
 
@@ -24,21 +24,21 @@
 
 
 class RunRecord:
-    """All runs since the start, in the order in which they were read; survives crashes."""
+    """All runs since the process started, in order of arrival; simulated crashes don't clear it."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._runs: list[Run] = []
 
     def begin(self, stream_id: str, model: str, digest: str, *, resumed: bool = False) -> Run:
-        """Append a run that starts now."""
+        """Append a run that starts now and return it."""
         run = Run(id=stream_id, model=model, digest=digest, started=wall_millis(), resumed=resumed)
         with self._lock:
             self._runs.append(run)
         return run
 
     def end(self, run: Run, outcome: str, tokens: int) -> None:
-        """Note how a run ended; a second call changes nothing."""
+        """Record how a run ended; later calls for the same run have no effect."""
         with self._lock:
             if run.outcome is not None:
                 return
@@ -46,7 +46,7 @@
             run.tokens = tokens
             run.ended = wall_millis()
 
-    def after(self, index: int) -> list[dict[str, Any]]:
+    def runs_from(self, index: int) -> list[dict[str, Any]]:
         """Return the runs from position ``index`` on."""
         with self._lock:
             return [asdict(run) for run in self._runs[index:]]
--- a/packages/standins/src/carobspool_standins/_engine_settings.py
+++ b/packages/standins/src/carobspool_standins/_engine_settings.py
@@ -19,31 +19,32 @@
 
 
 class EngineSettings(ServerSettings):
-    """Settings of the engine; times are milliseconds of simulated work.
+    """Settings of the engine; simulated work is given in milliseconds.
 
     Attributes:
-        models: Models that are ready at the start.
-        role: Role at the start.
-        slots: Streams that run side by side.
-        step_base_ms: Time of a step with nothing in it.
-        step_stream_ms: Time that each decoding stream adds to a step.
-        step_prefill_ms: Time that each prefilled token adds to a step.
-        prefill_chunk: Prompt tokens prefilled in one step.
-        kv_tokens: Memory for kept KV and the prefix cache.
-        block_tokens: Tokens of one block of the prefix cache.
+        models: Models that are ready when the engine starts.
+        role: Initial role.
+        slots: Maximum number of streams in a batch.
+        step_base_ms: Duration of an empty step.
+        step_stream_ms: Duration that each decoding stream adds to a step.
+        step_prefill_ms: Duration that each prefilled token adds to a step.
+        prefill_chunk: Maximum number of prompt tokens prefilled in a step.
+        kv_tokens: Tokens that fit into the memory for kept KV and the prefix cache.
+        block_tokens: Tokens in a block of the prefix cache.
         load_lag_ms: Age of the load report.
         cache_event_delay_ms: Age at which a cache event is published.
         cache_event_gap_rate: Share of cache events that are never published.
-        answer_tokens_min: Least length of an answer that nothing bounds.
-        answer_tokens_max: Greatest length of an answer that nothing bounds.
-        check_fence: Whether an order with an old fencing number is refused.
-        order_key: Key that orders must carry; ``None``: all are taken.
-        weight_store: URL of the weight store; ``None``: loads take ``model_load_ms``.
+        answer_tokens_min: Minimum length of an answer to a request without bounds.
+        answer_tokens_max: Maximum length of an answer to a request without bounds.
+        check_fence: Whether an order with a stale or missing fencing number is rejected.
+        order_key: Bearer token that orders must carry; ``None`` accepts every order.
+        weight_store: URL of the weight store; with ``None`` a load takes ``model_load_ms``.
         weight_bytes: Size of a model's weights in the weight store.
-        model_load_ms: Time of a load without weight store.
-        restart_ms: Time for which the engine refuses after a crash in mode ``restart``.
-        time_scale: Factor on all simulated work; below 1 is faster.
-        seed: Seed of gaps and random errors.
+        model_load_ms: Duration of a load without a weight store.
+        restart_ms: Time for which the engine refuses connections after a crash in mode
+            ``restart``.
+        time_scale: Factor on the duration of all simulated work; below 1 is faster.
+        seed: Seed of the random generators for cache event gaps and request errors.
     """
 
     models: tuple[LoadedModel, ...] = ()
--- a/packages/standins/src/carobspool_standins/_faults.py
+++ b/packages/standins/src/carobspool_standins/_faults.py
@@ -1,4 +1,4 @@
-"""Faults of a stand-in that tests and operators switch over HTTP."""
+"""Injectable faults of a stand-in, which tests and operators switch over HTTP."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Faults(BaseModel):
-    """Base of the switchable faults of one stand-in; the defaults mean no fault."""
+    """Base of the injectable faults of a stand-in; the default values inject none."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -19,10 +19,10 @@
 
 
 class FaultBoard(Generic[FaultsT]):
-    """Holds the faults in force; safe to use from several threads.
+    """Holds the active faults. Thread-safe.
 
     Args:
-        model: Model of the faults, whose defaults mean no fault.
+        model: Model of the faults, whose default values inject none.
         on_change: Called after each change, outside the lock.
     """
 
@@ -35,14 +35,14 @@
 
     @property
     def current(self) -> FaultsT:
-        """The faults in force."""
+        """The active faults."""
         return self._current
 
     def merge(self, values: Mapping[str, Any]) -> FaultsT:
-        """Change the given faults and keep the others.
+        """Change the given faults and leave the others as they are.
 
         Raises:
-            pydantic.ValidationError: If a name or a value is not known; nothing changes then.
+            pydantic.ValidationError: If a name is unknown or a value invalid; nothing changes then.
         """
         with self._lock:
             merged = self._current.model_dump() | dict(values)
@@ -53,16 +53,16 @@
         return self._current
 
     def reset(self) -> FaultsT:
-        """Return to no fault."""
+        """Clear all faults."""
         return self.merge(self._model().model_dump())
 
-    def wait_while(self, present: Callable[[FaultsT], bool]) -> None:
-        """Block for as long as ``present`` holds for the faults in force."""
+    def wait_while(self, condition: Callable[[FaultsT], bool]) -> None:
+        """Block while ``condition`` holds for the active faults."""
         with self._lock:
-            self._changed.wait_for(lambda: not present(self._current))
+            self._changed.wait_for(lambda: not condition(self._current))
 
-    def take(self, choose: Callable[[FaultsT], Mapping[str, Any] | None]) -> bool:
-        """Use up one occurrence of a counted fault.
+    def consume(self, choose: Callable[[FaultsT], Mapping[str, Any] | None]) -> bool:
+        """Apply a fault that has a limited number of occurrences, and use one up.
 
         Args:
             choose: Returns the changed values when the fault applies, else ``None``.
--- a/packages/standins/src/carobspool_standins/_gpu.py
+++ b/packages/standins/src/carobspool_standins/_gpu.py
@@ -17,7 +17,7 @@
 
 
 class StreamEnd(StrEnum):
-    """Why a stream makes no more tokens."""
+    """Why a stream produces no more tokens."""
 
     DONE = "done"
     CANCELLED = "cancelled"
@@ -26,16 +26,25 @@
 
 
 class Stream:
-    """One run of a request; the GPU's lock guards all but ``wait``.
+    """One run of a request; callers of everything but ``wait`` hold the GPU's lock.
 
     Args:
-        id: Its id, chosen by the caller.
-        total: Tokens of its whole answer.
-        prompt_tokens: Tokens of its prompt.
-        blocks: Prefix blocks of its prompt.
+        id: Stream id, chosen by the caller.
+        total: Tokens in the complete answer.
+        prompt_tokens: Tokens in the prompt.
+        blocks: Prefix blocks of the prompt.
     """
 
-    __slots__ = ("id", "total", "prompt_tokens", "blocks", "prefilled", "produced", "end", "_news")
+    __slots__ = (
+        "id",
+        "total",
+        "prompt_tokens",
+        "blocks",
+        "prefilled",
+        "produced",
+        "end",
+        "_progressed",
+    )
 
     def __init__(self, id: str, total: int, prompt_tokens: int, blocks: Sequence[str]) -> None:
         self.id = id
@@ -45,40 +54,40 @@
         self.prefilled = 0
         self.produced = 0
         self.end: StreamEnd | None = None
-        self._news = threading.Condition(threading.Lock())
+        self._progressed = threading.Condition(threading.Lock())
 
     @property
     def in_prefill(self) -> bool:
-        """Whether prompt tokens are left to prefill."""
+        """Whether some prompt tokens are not prefilled yet."""
         return self.prefilled < self.prompt_tokens
 
     @property
     def kv_tokens(self) -> int:
-        """Tokens whose KV the stream holds."""
+        """Number of tokens whose KV the stream occupies."""
         return self.prefilled + self.produced
 
-    def wait(self, known: int, timeout: float) -> tuple[int, StreamEnd | None]:
-        """Wait until more than ``known`` tokens are there or the stream has ended.
+    def wait(self, last_count: int, timeout: float) -> tuple[int, StreamEnd | None]:
+        """Wait until more than ``last_count`` tokens exist, the stream ends or time runs out.
 
         Returns:
-            The tokens produced, and how the stream ended, if it has.
+            The number of tokens produced, and how the stream ended, if it has.
         """
-        with self._news:
-            if self.produced <= known and self.end is None:
-                self._news.wait(timeout)
+        with self._progressed:
+            if self.produced <= last_count and self.end is None:
+                self._progressed.wait(timeout)
             return self.produced, self.end
 
-    def tell(self, produced: int, end: StreamEnd | None) -> None:
-        """Publish progress to the waiting handler."""
-        with self._news:
+    def publish(self, produced: int, end: StreamEnd | None) -> None:
+        """Set the progress and wake the request handler that waits for it."""
+        with self._progressed:
             self.produced = produced
             self.end = end
-            self._news.notify_all()
+            self._progressed.notify_all()
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LoadReport:
-    """The load at one instant; ``at`` is wall-clock time."""
+    """The load at one instant; ``at`` is wall-clock time in milliseconds."""
 
     running: int
     waiting: int
@@ -91,9 +100,9 @@
     """Runs streams in steps on one thread, which sleeps while there is nothing to do.
 
     Args:
-        settings: Step times, slots and memory.
-        memory: KV memory, used under the GPU's lock.
-        slow_factor: Returns the factor on step times in force.
+        settings: Step durations, slots and memory.
+        memory: KV memory, guarded by the GPU's lock.
+        slow_factor: Returns the current factor on step durations.
     """
 
     def __init__(
@@ -103,16 +112,16 @@
         self._memory = memory
         self._slow_factor = slow_factor
         self._lock = threading.Lock()
-        self._work = threading.Condition(self._lock)
+        self._work_available = threading.Condition(self._lock)
         self._waiting: deque[Stream] = deque()
         self._running: list[Stream] = []
         self._reports: deque[tuple[float, LoadReport]] = deque()
-        self._note_load()
+        self._record_load()
         threading.Thread(target=self._run, name="gpu", daemon=True).start()
 
     @property
     def load(self) -> LoadReport:
-        """The load as it was one lag ago."""
+        """The load as it was ``load_lag_ms`` ago."""
         limit = time.monotonic() * 1000.0 - self._settings.load_lag_ms
         with self._lock:
             found = self._reports[0][1]
@@ -126,44 +135,44 @@
         """Put a stream at the end of the queue."""
         with self._lock:
             self._waiting.append(stream)
-            self._note_load()
-            self._work.notify()
+            self._record_load()
+            self._work_available.notify()
 
     def cancel(self, stream: Stream, end: StreamEnd, *, keep_kv: bool) -> tuple[int, bool]:
         """Stop a stream unless it has ended.
 
         Returns:
-            The tokens it produced, and whether its KV was kept.
+            The number of tokens produced, and whether the KV was kept.
         """
         with self._lock:
             if stream.end is not None:
                 return stream.produced, False
             self._remove(stream)
-            kept = keep_kv and self._memory.keep(stream.id, stream, stream.kv_tokens)
-            stream.tell(stream.produced, end)
-            self._note_load()
+            kept = keep_kv and self._memory.keep_stream(stream.id, stream, stream.kv_tokens)
+            stream.publish(stream.produced, end)
+            self._record_load()
             return stream.produced, kept
 
-    def take_kept(self, stream_id: str) -> Stream | None:
-        """Return a kept stream, ready to be submitted again; ``None`` when it is not kept."""
+    def pop_kept_stream(self, stream_id: str) -> Stream | None:
+        """Remove a kept stream from memory and return a copy to submit, or ``None`` if not kept."""
         with self._lock:
-            stream: Stream | None = self._memory.take(stream_id)
+            stream: Stream | None = self._memory.pop_stream(stream_id)
             if stream is None:
                 return None
-            again = Stream(stream.id, stream.total, stream.prompt_tokens, stream.blocks)
-            again.prefilled = stream.prefilled
-            again.produced = stream.produced
-            return again
+            resumed = Stream(stream.id, stream.total, stream.prompt_tokens, stream.blocks)
+            resumed.prefilled = stream.prefilled
+            resumed.produced = stream.produced
+            return resumed
 
     def crash(self) -> None:
-        """End every stream and forget all KV."""
+        """End every stream and discard all KV."""
         with self._lock:
             for stream in [*self._running, *self._waiting]:
-                stream.tell(stream.produced, StreamEnd.CRASHED)
+                stream.publish(stream.produced, StreamEnd.CRASHED)
             self._running.clear()
             self._waiting.clear()
             self._memory.clear()
-            self._note_load()
+            self._record_load()
 
     def _remove(self, stream: Stream) -> None:
         if stream in self._running:
@@ -178,13 +187,13 @@
             with self._lock:
                 self._admit()
                 while not self._running:
-                    self._work.wait()
+                    self._work_available.wait()
                     self._admit()
                 prefills = self._plan_prefills()
                 decoding = [stream for stream in self._running if not stream.in_prefill]
             duration = self._step_ms(len(decoding), sum(count for _, count in prefills))
-            # A step starts when the one before was due, so that the thread's own lateness doesn't
-            # add up; more than that, such as an idle time, is not made up for.
+            # A step starts when the previous step was due to end, so that scheduling delays of this
+            # thread don't accumulate. Longer delays, such as idle time, are not caught up.
             now = time.monotonic() * 1000.0
             start = step_at if now - step_at < MAX_CATCH_UP_MS else now
             step_at = start + duration
@@ -196,7 +205,7 @@
         while self._waiting and len(self._running) < self._settings.slots:
             stream = self._waiting.popleft()
             if stream.prefilled == 0:
-                # The last prompt token is always computed: it makes the first answer token.
+                # The last prompt token is always computed because it yields the first answer token.
                 hit = self._memory.match(stream.blocks)
                 stream.prefilled = min(hit, stream.prompt_tokens - 1)
             self._running.append(stream)
@@ -240,10 +249,10 @@
             done = produced == stream.total
             if done:
                 self._running.remove(stream)
-            stream.tell(produced, StreamEnd.DONE if done else None)
-        self._note_load()
+            stream.publish(produced, StreamEnd.DONE if done else None)
+        self._record_load()
 
-    def _note_load(self) -> None:
+    def _record_load(self) -> None:
         now = time.monotonic() * 1000.0
         report = LoadReport(
             running=len(self._running),
--- a/packages/standins/src/carobspool_standins/_http.py
+++ b/packages/standins/src/carobspool_standins/_http.py
@@ -1,4 +1,4 @@
-"""HTTP base of the stand-ins: werkzeug's threaded server with kept connections and few writes."""
+"""HTTP server of the stand-ins: werkzeug's threaded server with keep-alive and few writes."""
 
 from __future__ import annotations
 
@@ -22,20 +22,20 @@
 
 from carobspool_standins._faults import FaultBoard, Faults
 from carobspool_standins._settings import ServerSettings
-from carobspool_standins.errors import CutConnection
+from carobspool_standins.errors import AbortConnection
 
 View = Callable[..., Response]
 WsgiApplication = Callable[[dict[str, Any], Any], Iterable[bytes]]
 
 JSON_TYPE = "application/json"
-POLL_SECONDS = 0.05
+SHUTDOWN_POLL_INTERVAL_S = 0.05
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 def json_response(
     value: Any, status: int = HTTPStatus.OK, headers: dict[str, str] | None = None
 ) -> Response:
-    """Return a JSON answer."""
+    """Return a JSON response."""
     body = json.dumps(value, separators=(",", ":"))
     return Response(body, status=int(status), headers=headers, content_type=JSON_TYPE)
 
@@ -43,22 +43,22 @@
 def error_response(
     status: int, code: str, message: str, headers: dict[str, str] | None = None
 ) -> Response:
-    """Return an error in the shape that OpenAI clients expect."""
+    """Return an error response in the format that OpenAI clients expect."""
     error = {"type": "standin_error", "code": code, "message": message}
     return json_response({"error": error}, status, headers)
 
 
-def cut_connection(request: Request) -> CutConnection:
-    """Return the error to raise for closing the request's connection with a reset."""
-    return CutConnection(f"{request.method} {request.path}")
+def abort_connection(request: Request) -> AbortConnection:
+    """Return the exception that makes the server reset the request's connection."""
+    return AbortConnection(f"{request.method} {request.path}")
 
 
 def application(rules: Sequence[Rule]) -> WsgiApplication:
-    """Return a WSGI application that passes each request to the view that a rule names.
+    """Return a WSGI application that dispatches each request to the view of its rule.
 
     Args:
-        rules: Rules whose ``endpoint`` is a view; it is called with the request and the values
-            of the path.
+        rules: Rules whose ``endpoint`` is a view; it is called with the request and the
+            variables of the path.
     """
     paths = Map(rules, strict_slashes=False, merge_slashes=False, redirect_defaults=False)
 
@@ -71,8 +71,8 @@
             status = error.code or HTTPStatus.INTERNAL_SERVER_ERROR
             response = error_response(status, "refused", error.name)
         start_response(response.status, list(response.headers))
-        pieces: Iterable[bytes] = response.response
-        return pieces
+        chunks: Iterable[bytes] = response.response
+        return chunks
 
     return run
 
@@ -80,16 +80,16 @@
 def fault_rules(
     board: FaultBoard[Any], *, is_down: Callable[[], bool] = lambda: False
 ) -> list[Rule]:
-    """Return the rules that every stand-in has: health and faults.
+    """Return the rules common to all stand-ins: health check and faults.
 
     Args:
-        board: The faults.
-        is_down: Whether the stand-in refuses connections, so that its health is not told either.
+        board: Faults of the stand-in.
+        is_down: Returns whether the stand-in refuses connections, those of health checks included.
     """
 
     def health(request: Request) -> Response:
         if is_down():
-            raise cut_connection(request)
+            raise abort_connection(request)
         return json_response({"status": "ok"})
 
     def show(_request: Request) -> Response:
@@ -114,9 +114,9 @@
 
 
 class _Handler(WSGIRequestHandler):
-    """Keeps connections open, reads bodies whole and writes headers and body together.
+    """Keeps connections alive, reads request bodies completely and buffers writes.
 
-    werkzeug's own handler closes every connection and writes each chunk in four pieces, which
+    werkzeug's own handler closes every connection and makes four writes for each chunk, which
     costs more than the simulated work.
     """
 
@@ -125,7 +125,7 @@
     wbufsize = 65536
 
     def run_wsgi(self) -> None:
-        """Answer one request."""
+        """Read one request and send its response."""
         if self.headers.get("Expect", "").lower() == "100-continue":
             self.wfile.write(b"HTTP/1.1 100 Continue\r\n\r\n")
             self.wfile.flush()
@@ -136,38 +136,38 @@
         else:
             environ["wsgi.input"] = io.BytesIO(environ["wsgi.input"].read())
         try:
-            self._answer(environ)
-        except CutConnection:
-            self._cut()
+            self._send_response(environ)
+        except AbortConnection:
+            self._reset_connection()
         except (ConnectionError, TimeoutError):
             self.close_connection = True
 
     def finish(self) -> None:
-        """Close the connection; a client that has gone is no error."""
+        """Close the connection; ignore that the client has disconnected."""
         with contextlib.suppress(ConnectionError):
             super().finish()
 
     def log_request(self, code: int | str = "-", size: int | str = "-") -> None:
-        """Log nothing: the records of a stand-in tell what it was asked."""
+        """Log nothing, because a stand-in keeps its own record of requests."""
 
-    def _answer(self, environ: dict[str, Any]) -> None:
+    def _send_response(self, environ: dict[str, Any]) -> None:
         head: list[Any] = []
 
         def start_response(status: str, headers: list[tuple[str, str]], _: Any = None) -> Any:
             head[:] = [status, headers]
 
-        pieces = self.server.app(environ, start_response)
+        chunks = self.server.app(environ, start_response)
         chunked = self._send_head(*head)
         try:
             if self.command == "HEAD":
                 return
-            for piece in pieces:
-                self._send_piece(piece, chunked=chunked)
+            for chunk in chunks:
+                self._send_body_chunk(chunk, chunked=chunked)
             if chunked:
                 self.wfile.write(b"0\r\n\r\n")
             self.wfile.flush()
         finally:
-            close = getattr(pieces, "close", None)
+            close = getattr(chunks, "close", None)
             if close is not None:
                 close()
 
@@ -184,16 +184,16 @@
         self.end_headers()
         return chunked
 
-    def _send_piece(self, piece: bytes, *, chunked: bool) -> None:
-        if not piece:
+    def _send_body_chunk(self, chunk: bytes, *, chunked: bool) -> None:
+        if not chunk:
             return
         if not chunked:
-            self.wfile.write(piece)
+            self.wfile.write(chunk)
             return
-        self.wfile.write(b"%x\r\n%b\r\n" % (len(piece), piece))
+        self.wfile.write(b"%x\r\n%b\r\n" % (len(chunk), chunk))
         self.wfile.flush()
 
-    def _cut(self) -> None:
+    def _reset_connection(self) -> None:
         self.close_connection = True
         with contextlib.suppress(OSError):
             self.wfile.flush()
@@ -209,7 +209,7 @@
 
 
 def serve_until_terminated(settings: ServerSettings, app: WsgiApplication) -> None:
-    """Serve until SIGTERM or SIGINT, after printing the port on which it listens."""
+    """Print the port and serve requests until SIGTERM or SIGINT."""
     server = make_http_server(settings, app)
 
     def stop(_signal: int, _frame: FrameType | None) -> None:
@@ -218,4 +218,4 @@
     signal.signal(signal.SIGTERM, stop)
     signal.signal(signal.SIGINT, stop)
     print(f"ready port={server.port}", flush=True)
-    server.serve_forever(poll_interval=POLL_SECONDS)
+    server.serve_forever(poll_interval=SHUTDOWN_POLL_INTERVAL_S)
--- a/packages/standins/src/carobspool_standins/_object_table.py
+++ b/packages/standins/src/carobspool_standins/_object_table.py
@@ -1,4 +1,4 @@
-"""The state of the object API: versioned objects under one lock, with a bounded history."""
+"""State of the object API: versioned objects under one lock, with a bounded event history."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 
 
 class VersionConflict(StandinError):
-    """The condition of a write did not hold.
+    """The object's version differs from the one that a write expects.
 
     Args:
-        current: Version of the present object, 0 when there is none.
+        current: Current version of the object, 0 if it does not exist.
     """
 
     def __init__(self, current: int) -> None:
-        super().__init__(f"the present version is {current}")
+        super().__init__(f"the current version is {current}")
         self.current = current
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Object:
-    """One object as it stands."""
+    """The current state of an object."""
 
     key: str
     version: int
@@ -35,33 +35,33 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Event:
-    """One write. ``at`` is wall-clock time, ``seen_at`` monotonic time, both in milliseconds."""
+    """A write. ``at`` is the wall-clock time and ``monotonic_ms`` the monotonic time, in ms."""
 
     key: str
     version: int
     value: str | None
     deleted: bool
     at: int
-    seen_at: float
+    monotonic_ms: float
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class WatchEvents:
-    """What a watch found, and the revision from which to go on."""
+    """The result of a watch: its events, and the revision from which to watch next."""
 
     revision: int
     events: Sequence[Event]
 
 
-def _now() -> float:
+def _monotonic_ms() -> float:
     return time.monotonic() * 1000.0
 
 
 class ObjectTable:
-    """Versioned objects; each operation takes one lock, so all are linearizable.
+    """Versioned objects; every operation holds one lock, so all are linearizable.
 
     Args:
-        max_history: Events held; a watch from before them finds nothing.
+        max_history: Number of events retained; a watch from a revision before them fails.
     """
 
     def __init__(self, max_history: int) -> None:
@@ -70,47 +70,51 @@
         self._objects: dict[str, Object] = {}
         self._keys: list[str] = []
         self._events: list[Event] = []
-        self._dropped = 0
+        self._discarded = 0
         self._max_history = max_history
 
     def get(self, key: str) -> Object | None:
-        """Return an object, or ``None``."""
+        """Return an object, or ``None`` if it does not exist."""
         with self._lock:
             return self._objects.get(key)
 
     def put(self, key: str, value: str, version: int) -> int:
-        """Write an object whose present version must be ``version`` (0: none).
+        """Write an object if its current version is ``version`` (0: it does not exist).
 
         Raises:
             VersionConflict: If it is another one; nothing changes.
         """
         with self._lock:
-            present = self._objects.get(key)
-            self._check(present, version)
+            existing = self._objects.get(key)
+            self._check_version(existing, version)
             revision = self._append(key, value)
             self._objects[key] = Object(key=key, version=revision, value=value)
-            if present is None:
+            if existing is None:
                 insort(self._keys, key)
             return revision
 
     def delete(self, key: str, version: int) -> int | None:
-        """Remove an object whose version must be ``version``; ``None`` if there is none.
+        """Remove an object if its version is ``version``; return ``None`` if it does not exist.
 
         Raises:
             VersionConflict: If it is another one; nothing changes.
         """
         with self._lock:
-            present = self._objects.get(key)
-            if present is None:
+            existing = self._objects.get(key)
+            if existing is None:
                 return None
-            self._check(present, version)
+            self._check_version(existing, version)
             revision = self._append(key, None)
             del self._objects[key]
             del self._keys[bisect_left(self._keys, key)]
             return revision
 
     def page(self, prefix: str, after: str, limit: int) -> tuple[int, list[Object], bool]:
-        """Return the revision, a page of objects in key order, and whether there are more."""
+        """Return a page of objects in key order.
+
+        Returns:
+            The revision, the objects, and whether more objects follow.
+        """
         found: list[Object] = []
         with self._lock:
             start = bisect_left(self._keys, prefix)
@@ -126,9 +130,9 @@
             return self._revision(), found, False
 
     def history(self, after: int) -> list[Event]:
-        """Return the held events with a version above ``after``."""
+        """Return the retained events with a version above ``after``."""
         with self._lock:
-            return self._events[max(0, after - self._dropped) :]
+            return self._events[max(0, after - self._discarded) :]
 
     def watch(
         self,
@@ -139,58 +143,58 @@
         lag_ms: Callable[[], float],
         interrupted: Callable[[], bool],
     ) -> WatchEvents | None:
-        """Wait for events below ``prefix`` after revision ``start``.
+        """Wait for events under ``prefix`` after revision ``start``.
 
         Args:
-            prefix: Start of the keys.
-            start: Revision that the caller knows.
+            prefix: Prefix of the keys.
+            start: Last revision that the caller has seen.
             timeout_ms: Time after which an empty batch is returned.
-            lag_ms: How late events are shown.
-            interrupted: Whether to stop waiting at once.
+            lag_ms: Returns the delay before an event becomes visible to watches.
+            interrupted: Returns whether to stop waiting at once.
 
         Returns:
-            The events, or ``None`` when ``start`` is no longer held.
+            The events, or ``None`` if events after ``start`` were discarded.
         """
-        deadline = _now() + timeout_ms
+        deadline = _monotonic_ms() + timeout_ms
         with self._lock:
             while True:
-                if start < self._dropped:
+                if start < self._discarded:
                     return None
-                shown, next_at = self._shown(lag_ms())
+                visible, next_visible_at = self._visible_events(lag_ms())
                 events = [
                     event
-                    for event in self._events[start - self._dropped : shown]
+                    for event in self._events[start - self._discarded : visible]
                     if event.key.startswith(prefix)
                 ]
-                start = max(start, shown + self._dropped)
-                now = _now()
+                start = max(start, visible + self._discarded)
+                now = _monotonic_ms()
                 if events or now >= deadline or interrupted():
                     return WatchEvents(revision=start, events=events)
-                self._changed.wait((min(deadline, next_at) - now) / 1000.0)
+                self._changed.wait((min(deadline, next_visible_at) - now) / 1000.0)
 
-    def wake(self) -> None:
-        """Make all watches look again, after a fault was switched."""
+    def wake_watches(self) -> None:
+        """Make all waiting watches check their condition again, after a change of faults."""
         with self._lock:
             self._changed.notify_all()
 
     def _revision(self) -> int:
-        return self._dropped + len(self._events)
+        return self._discarded + len(self._events)
 
-    def _shown(self, lag_ms: float) -> tuple[int, float]:
-        """Return how many held events are old enough to be shown, and when the next one is."""
+    def _visible_events(self, lag_ms: float) -> tuple[int, float]:
+        """Return the number of visible events and the time at which the next becomes visible."""
         count = len(self._events)
         if lag_ms <= 0 or not count:
             return count, float("inf")
-        limit = _now() - lag_ms
-        while count and self._events[count - 1].seen_at > limit:
+        limit = _monotonic_ms() - lag_ms
+        while count and self._events[count - 1].monotonic_ms > limit:
             count -= 1
         if count == len(self._events):
             return count, float("inf")
-        return count, self._events[count].seen_at + lag_ms
+        return count, self._events[count].monotonic_ms + lag_ms
 
     @staticmethod
-    def _check(present: Object | None, version: int) -> None:
-        current = present.version if present is not None else 0
+    def _check_version(existing: Object | None, version: int) -> None:
+        current = existing.version if existing is not None else 0
         if current != version:
             raise VersionConflict(current)
 
@@ -202,13 +206,14 @@
             value=value,
             deleted=value is None,
             at=wall_millis(),
-            seen_at=_now(),
+            monotonic_ms=_monotonic_ms(),
         )
         self._events.append(event)
-        # Cut a tenth at a time: cutting one event per write would move the whole list each time.
+        # Discard a tenth at a time: discarding one event per write would move the whole list on
+        # each write.
         if len(self._events) > self._max_history + self._max_history // 10:
-            surplus = len(self._events) - self._max_history
-            del self._events[:surplus]
-            self._dropped += surplus
+            excess = len(self._events) - self._max_history
+            del self._events[:excess]
+            self._discarded += excess
         self._changed.notify_all()
         return revision
--- a/packages/standins/src/carobspool_standins/_prefix_cache.py
+++ b/packages/standins/src/carobspool_standins/_prefix_cache.py
@@ -1,4 +1,4 @@
-"""Limited KV memory of the engine: cached prompt prefixes and the KV of cancelled streams."""
+"""Bounded KV memory of the engine: cached prompt prefixes and the KV of cancelled streams."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from typing import Any
 
 CHARS_PER_TOKEN = 4
-HELD_EVENTS = 10_000
-PREFIX_DIGITS = 16
+MAX_EVENTS = 10_000
+PREFIX_HEX_DIGITS = 16
 
 
 def prompt_tokens(text: str) -> int:
@@ -22,24 +22,26 @@
 
 
 def prefix_blocks(model: str, text: str, block_tokens: int) -> list[str]:
-    """Return the ids of a prompt's whole blocks; each stands for all the text before its end.
+    """Return the ids of a prompt's complete blocks.
+
+    An id is a digest of the model and of all text up to the end of the block.
 
     Args:
         model: Model that the KV belongs to.
-        text: The prompt as one text.
-        block_tokens: Tokens of a block.
+        text: Text of the prompt.
+        block_tokens: Tokens in a block.
     """
     size = block_tokens * CHARS_PER_TOKEN
-    running = hashlib.sha256(model.encode())
+    digest = hashlib.sha256(model.encode())
     blocks: list[str] = []
     for end in range(size, len(text) + 1, size):
-        running.update(text[end - size : end].encode())
-        blocks.append(running.hexdigest()[:PREFIX_DIGITS])
+        digest.update(text[end - size : end].encode())
+        blocks.append(digest.hexdigest()[:PREFIX_HEX_DIGITS])
     return blocks
 
 
 class CacheEvents:
-    """Cache events, published late and with gaps in their sequence.
+    """Cache events, published with a delay and with gaps in their sequence numbers.
 
     Args:
         delay_ms: Age at which an event is published.
@@ -53,10 +55,10 @@
         self._gap_rate = gap_rate
         self._random = random.Random(seed)
         self._sequence = 0
-        self._events: deque[tuple[float, dict[str, Any]]] = deque(maxlen=HELD_EVENTS)
+        self._events: deque[tuple[float, dict[str, Any]]] = deque(maxlen=MAX_EVENTS)
 
     def add(self, kind: str, prefix: str) -> None:
-        """Note an event, or lose it."""
+        """Add an event, or drop it at random at the rate of the gaps."""
         with self._lock:
             self._sequence += 1
             if self._random.random() < self._gap_rate:
@@ -65,7 +67,11 @@
             self._events.append((time.monotonic() * 1000.0 + self._delay_ms, event))
 
     def since(self, start: int) -> tuple[int, list[dict[str, Any]]]:
-        """Return where to go on and the published events from sequence ``start`` on."""
+        """Return the published events from sequence number ``start`` on.
+
+        Returns:
+            The sequence number for the next call, and the events.
+        """
         now = time.monotonic() * 1000.0
         with self._lock:
             found = [e for at, e in self._events if at <= now and e["sequence"] >= start]
@@ -74,18 +80,18 @@
 
 @dataclass(slots=True, kw_only=True)
 class KeptStream:
-    """What is needed to go on with a cancelled stream."""
+    """A cancelled stream whose KV is kept, and the number of tokens that it occupies."""
 
     stream: Any
     tokens: int
 
 
 class KvMemory:
-    """Least-recently-used memory for prefix blocks and kept streams. Not thread-safe.
+    """Memory with LRU eviction for prefix blocks and kept streams. Not thread-safe.
 
     Args:
         capacity: Tokens that fit.
-        block_tokens: Tokens of a prefix block.
+        block_tokens: Tokens in a prefix block.
         on_event: Called with ``stored`` or ``evicted`` and the block's id.
     """
 
@@ -101,11 +107,11 @@
 
     @property
     def used(self) -> int:
-        """Tokens in use."""
+        """Number of tokens in use."""
         return self._used
 
     def match(self, blocks: Sequence[str]) -> int:
-        """Return how many tokens of a prompt are cached, and mark them as used."""
+        """Return the number of cached prompt tokens, and mark their blocks as recently used."""
         hits = 0
         for block in blocks:
             if block not in self._blocks:
@@ -115,7 +121,7 @@
         return hits * self._block_tokens
 
     def store(self, blocks: Sequence[str]) -> None:
-        """Cache a prompt's blocks, as far as there is room."""
+        """Cache a prompt's blocks, up to the first block that does not fit."""
         for block in blocks:
             if block in self._blocks:
                 self._blocks.move_to_end(block)
@@ -126,16 +132,16 @@
             self._used += self._block_tokens
             self._on_event("stored", block)
 
-    def keep(self, stream_id: str, stream: Any, tokens: int) -> bool:
-        """Keep a cancelled stream's KV; returns whether there was room."""
+    def keep_stream(self, stream_id: str, stream: Any, tokens: int) -> bool:
+        """Keep a cancelled stream's KV and return whether there was room."""
         if tokens == 0 or not self._make_room(tokens):
             return False
         self._kept[stream_id] = KeptStream(stream=stream, tokens=tokens)
         self._used += tokens
         return True
 
-    def take(self, stream_id: str) -> Any | None:
-        """Give a kept stream back and free its memory; ``None`` when it is not kept."""
+    def pop_stream(self, stream_id: str) -> Any | None:
+        """Remove a kept stream, free its memory and return it; ``None`` if it is not kept."""
         kept = self._kept.pop(stream_id, None)
         if kept is None:
             return None
@@ -143,7 +149,7 @@
         return kept.stream
 
     def clear(self) -> None:
-        """Forget everything, as after a crash."""
+        """Discard all blocks and streams, as after a crash."""
         self._blocks.clear()
         self._kept.clear()
         self._used = 0
@@ -151,7 +157,8 @@
     def _make_room(self, tokens: int) -> bool:
         if tokens > self._capacity:
             return False
-        # Cached prefixes go first: losing one costs a prefill, losing a kept stream its progress.
+        # Prefix blocks are evicted before kept streams: losing a block costs a prefill, losing a
+        # kept stream loses its progress.
         while self._used + tokens > self._capacity and self._blocks:
             block, _ = self._blocks.popitem(last=False)
             self._used -= self._block_tokens
--- a/packages/standins/src/carobspool_standins/_sse.py
+++ b/packages/standins/src/carobspool_standins/_sse.py
@@ -1,4 +1,4 @@
-"""Bodies of the engine's answers: server-sent events and whole completions."""
+"""Response bodies of the engine: server-sent events and complete JSON bodies."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from carobspool_standins._answers import PlannedAnswer, Prompt
 
 DONE_EVENT = b"data: [DONE]\n\n"
-_TEXT_MARK = "\u0001"
+_TEXT_PLACEHOLDER = "\u0001"
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Usage:
-    """Tokens of a finished request."""
+    """Token counts of a finished request."""
 
     prompt: int
     completion: int
@@ -23,7 +23,7 @@
 
     @property
     def as_json(self) -> dict[str, Any]:
-        """The usage in the OpenAI shape."""
+        """The ``usage`` object of the OpenAI API."""
         return {
             "prompt_tokens": self.prompt,
             "completion_tokens": self.completion,
@@ -32,38 +32,40 @@
 
 
 class EventWriter:
-    """Writes the events of one stream; all but the text of an event is encoded once.
+    """Encodes the events of one stream; everything but the text is encoded only once.
 
     Args:
         stream_id: Id of the stream.
-        prompt: Its request.
-        answer: Its planned answer.
+        prompt: The parsed request.
+        answer: The planned answer.
     """
 
     def __init__(self, stream_id: str, prompt: Prompt, answer: PlannedAnswer) -> None:
         self._prompt = prompt
         self._words = answer.words
-        kind = "chat.completion.chunk" if prompt.chat else "text_completion"
+        object_type = "chat.completion.chunk" if prompt.chat else "text_completion"
         self._base = {
             "id": stream_id,
-            "object": kind,
+            "object": object_type,
             "created": int(time.time()),
             "model": prompt.model,
         }
-        head, tail = self._event(self._delta(_TEXT_MARK), None).split(json.dumps(_TEXT_MARK))
+        head, tail = self._event(self._delta(_TEXT_PLACEHOLDER), None).split(
+            json.dumps(_TEXT_PLACEHOLDER)
+        )
         self._head = head.encode()
         self._tail = tail.encode()
 
-    def tokens(self, start: int, end: int) -> bytes:
+    def token_events(self, start: int, end: int) -> bytes:
         """Return the events of the tokens from ``start`` up to but not including ``end``."""
         parts: list[bytes] = []
         for index in range(start, end):
-            # Words are plain ASCII without quotes, so quoting them is encoding them.
+            # Words are ASCII without quotes or backslashes, so quotes alone make them valid JSON.
             parts.append(b'%b"%b"%b' % (self._head, self._words[index].encode(), self._tail))
         return b"".join(parts)
 
-    def finish(self, reason: str, usage: Usage) -> bytes:
-        """Return the last events of a stream."""
+    def final_events(self, reason: str, usage: Usage) -> bytes:
+        """Return the final event, with the usage, and the ``[DONE]`` event."""
         empty: dict[str, Any] = {"delta": {}} if self._prompt.chat else {"text": ""}
         return self._event(empty, reason, usage).encode() + DONE_EVENT
 
@@ -82,10 +84,10 @@
         return f"data: {json.dumps(value, separators=(',', ':'))}\n\n"
 
 
-def whole_answer(
+def completion_body(
     stream_id: str, prompt: Prompt, words: tuple[str, ...], reason: str, usage: Usage
 ) -> dict[str, Any]:
-    """Return the body of an answer that is not streamed."""
+    """Return the JSON body of a response that is not streamed."""
     text = "".join(words)
     message = {"message": {"role": "assistant", "content": text}} if prompt.chat else {"text": text}
     return {
--- a/packages/standins/src/carobspool_standins/errors.py
+++ b/packages/standins/src/carobspool_standins/errors.py
@@ -11,12 +11,12 @@
     """A settings file can't be read or holds invalid values."""
 
 
-class CutConnection(StandinError):
-    """Raised by a view, or while its answer is sent, to close the connection with a reset."""
+class AbortConnection(StandinError):
+    """Raised by a view, or while its response is sent, to reset the connection."""
 
 
-class ClientGone(StandinError):
-    """The client closed its connection before the answer was complete."""
+class ClientDisconnected(StandinError):
+    """The client closed its connection before the response was complete."""
 
 
 class LoadFailure(StandinError):
@@ -24,8 +24,8 @@
 
 
 class ClusterError(StandinError):
-    """A process of a cluster did not start, answer or end as asked."""
+    """A process of a cluster did not start, respond or stop as requested."""
 
 
 class ExperimentError(StandinError):
-    """An experiment can't be run as it is described."""
+    """An experiment's settings describe a run that can't be carried out."""
--- a/packages/standins/src/carobspool_standins/objects.py
+++ b/packages/standins/src/carobspool_standins/objects.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's object API: ``python -m carobspool_standins.objects SETTINGS``."""
+"""Stand-in for the platform's object API: ``python -m carobspool_standins.objects SETTINGS``."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from carobspool_standins._faults import FaultBoard, Faults
 from carobspool_standins._http import (
     WsgiApplication,
+    abort_connection,
     application,
-    cut_connection,
     error_response,
     fault_rules,
     json_response,
@@ -25,7 +25,7 @@
 from carobspool_standins._object_table import Event, ObjectTable, VersionConflict
 from carobspool_standins._settings import ServerSettings, Settings
 
-MAX_LIST = 1000
+MAX_PAGE_OBJECTS = 1000
 OPERATIONS = ("get", "list", "create", "update", "delete", "watch")
 
 
@@ -33,8 +33,9 @@
     """Settings of the object API.
 
     Attributes:
-        max_value_bytes: Largest value.
-        max_history: Events held for watches; older ones answer 410.
+        max_value_bytes: Maximum size of a value.
+        max_history: Number of events retained for watches; a watch from an older revision gets
+            status 410.
     """
 
     max_value_bytes: int = 1_048_576
@@ -42,12 +43,12 @@
 
 
 class CountedFault(Settings):
-    """A fault of the writes below a prefix.
+    """A fault that affects a limited number of writes under a key prefix.
 
     Attributes:
-        prefix: Start of the keys concerned.
-        ops: Operations concerned.
-        count: Occurrences left.
+        prefix: Prefix of the affected keys.
+        ops: Affected operations.
+        count: Number of remaining occurrences.
     """
 
     prefix: str = ""
@@ -71,49 +72,65 @@
 
 
 def make_application(settings: ObjectsSettings) -> WsgiApplication:
-    """Return the object API with an empty store."""
+    """Return the WSGI application of the object API, with an empty store."""
     table = ObjectTable(settings.max_history)
-    board: Board = FaultBoard(ObjectsFaults, on_change=table.wake)
+    board: Board = FaultBoard(ObjectsFaults, on_change=table.wake_watches)
     calls: Counter[str] = Counter()
 
-    def guarded(operation: Callable[[Request], str], view: Callable[..., Response]) -> Any:
+    def count_and_inject_faults(
+        operation: Callable[[Request], str], view: Callable[..., Response]
+    ) -> Any:
         def run(request: Request, **values: Any) -> Response:
             name = operation(request)
             calls[name] += 1
-            refused = _refusal(board, name)
-            return refused if refused is not None else view(request, **values)
+            failure = _inject_faults(board, name)
+            return failure if failure is not None else view(request, **values)
 
         return run
 
     rules = [
-        Rule("/objects/<path:key>", methods=["GET"], endpoint=guarded(_named("get"), _get(table))),
+        Rule(
+            "/objects/<path:key>",
+            methods=["GET"],
+            endpoint=count_and_inject_faults(_constant_operation("get"), _get(table)),
+        ),
         Rule(
             "/objects/<path:key>",
             methods=["PUT"],
-            endpoint=guarded(_write_name, _put(table, board, settings.max_value_bytes)),
+            endpoint=count_and_inject_faults(
+                _put_operation, _put(table, board, settings.max_value_bytes)
+            ),
         ),
         Rule(
             "/objects/<path:key>",
             methods=["DELETE"],
-            endpoint=guarded(_named("delete"), _delete(table, board)),
+            endpoint=count_and_inject_faults(_constant_operation("delete"), _delete(table, board)),
+        ),
+        Rule(
+            "/list",
+            methods=["GET"],
+            endpoint=count_and_inject_faults(_constant_operation("list"), _list(table)),
+        ),
+        Rule(
+            "/watch",
+            methods=["GET"],
+            endpoint=count_and_inject_faults(_constant_operation("watch"), _watch(table, board)),
         ),
-        Rule("/list", methods=["GET"], endpoint=guarded(_named("list"), _list(table))),
-        Rule("/watch", methods=["GET"], endpoint=guarded(_named("watch"), _watch(table, board))),
         Rule("/calls", methods=["GET"], endpoint=_calls(calls)),
         Rule("/history", methods=["GET"], endpoint=_history(table)),
     ]
     return application([*fault_rules(board), *rules])
 
 
-def _named(name: str) -> Callable[[Request], str]:
+def _constant_operation(name: str) -> Callable[[Request], str]:
     return lambda _request: name
 
 
-def _write_name(request: Request) -> str:
+def _put_operation(request: Request) -> str:
     return "create" if request.headers.get("If-Version") == "0" else "update"
 
 
-def _refusal(board: Board, operation: str) -> Response | None:
+def _inject_faults(board: Board, operation: str) -> Response | None:
     board.wait_while(lambda faults: faults.freeze)
     faults = board.current
     if faults.delay_ms > 0:
@@ -126,7 +143,7 @@
     return None
 
 
-def _takes_effect(board: Board, name: str, operation: str, key: str) -> bool:
+def _consume_fault(board: Board, name: str, operation: str, key: str) -> bool:
     def choose(faults: ObjectsFaults) -> Mapping[str, Any] | None:
         fault: CountedFault | None = getattr(faults, name)
         if fault is None or operation not in fault.ops or not key.startswith(fault.prefix):
@@ -135,7 +152,7 @@
             return None
         return {name: fault.model_copy(update={"count": fault.count - 1})}
 
-    return board.take(choose)
+    return board.consume(choose)
 
 
 def _get(table: ObjectTable) -> Callable[..., Response]:
@@ -168,8 +185,10 @@
             value = body.decode("utf-8")
         except UnicodeDecodeError:
             return error_response(HTTPStatus.BAD_REQUEST, "not_text", "a value is UTF-8 text")
-        operation = _write_name(request)
-        return _write(request, board, operation, key, lambda: table.put(key, value, version))
+        operation = _put_operation(request)
+        return _conditional_write(
+            request, board, operation, key, lambda: table.put(key, value, version)
+        )
 
     return put
 
@@ -179,23 +198,23 @@
         version = _if_version(request)
         if version is None:
             return error_response(HTTPStatus.BAD_REQUEST, "no_version", "If-Version is missing")
-        return _write(request, board, "delete", key, lambda: table.delete(key, version))
+        return _conditional_write(request, board, "delete", key, lambda: table.delete(key, version))
 
     return delete
 
 
-def _write(
+def _conditional_write(
     request: Request, board: Board, operation: str, key: str, write: Callable[[], int | None]
 ) -> Response:
-    if _takes_effect(board, "drop_before", operation, key):
-        raise cut_connection(request)
+    if _consume_fault(board, "drop_before", operation, key):
+        raise abort_connection(request)
     try:
         version = write()
     except VersionConflict as conflict:
         headers = {"Object-Version": str(conflict.current)}
         return error_response(HTTPStatus.CONFLICT, "conflict", "other version", headers)
-    if _takes_effect(board, "lose_answer", operation, key):
-        raise cut_connection(request)
+    if _consume_fault(board, "lose_answer", operation, key):
+        raise abort_connection(request)
     if version is None:
         return error_response(HTTPStatus.NOT_FOUND, "not_found", "no such object")
     return json_response({"version": version}, headers={"Object-Version": str(version)})
@@ -205,7 +224,7 @@
     def list_objects(request: Request) -> Response:
         prefix = request.args.get("prefix", "")
         after = request.args.get("after", "")
-        limit = min(request.args.get("limit", MAX_LIST, type=int), MAX_LIST)
+        limit = min(request.args.get("limit", MAX_PAGE_OBJECTS, type=int), MAX_PAGE_OBJECTS)
         revision, found, more = table.page(prefix, after, limit)
         objects = [{"key": o.key, "version": o.version, "value": o.value} for o in found]
         return json_response({"revision": revision, "objects": objects, "more": more})
@@ -228,9 +247,9 @@
         )
         if batch is None:
             return error_response(HTTPStatus.GONE, "compacted", "revision no longer held")
-        refused = _refusal(board, "watch")
-        if refused is not None:
-            return refused
+        failure = _inject_faults(board, "watch")
+        if failure is not None:
+            return failure
         events = [_event_json(event, with_time=False) for event in batch.events]
         return json_response({"revision": batch.revision, "events": events})
 
--- a/packages/standins/src/carobspool_standins/plain.py
+++ b/packages/standins/src/carobspool_standins/plain.py
@@ -1,4 +1,4 @@
-"""Stand-in of a plain service: ``python -m carobspool_standins.plain SETTINGS``."""
+"""Stand-in for a plain HTTP service: ``python -m carobspool_standins.plain SETTINGS``."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 from carobspool_standins._http import (
     JSON_TYPE,
     WsgiApplication,
+    abort_connection,
     application,
-    cut_connection,
     error_response,
     fault_rules,
     json_response,
@@ -33,8 +33,8 @@
     """Settings of a plain service.
 
     Attributes:
-        service: Its name.
-        work_ms: Time that a call takes.
+        service: Name of the service.
+        work_ms: Duration of a call.
     """
 
     service: str = "plain"
@@ -53,8 +53,8 @@
     refuse: bool = False
 
 
-class _Runs:
-    """The calls that were executed, in order."""
+class _CallRecord:
+    """Record of the executed calls, in order. Thread-safe."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -62,12 +62,12 @@
 
     @property
     def all(self) -> list[dict[str, Any]]:
-        """The records so far."""
+        """A copy of all records."""
         with self._lock:
             return list(self._runs)
 
     def add(self, request: Request) -> int:
-        """Record a call and return its count."""
+        """Record a call and return the number of calls so far."""
         run = {
             "id": request.headers.get("X-Request-Id"),
             "method": request.method,
@@ -82,24 +82,24 @@
 
 
 def make_application(settings: PlainSettings) -> WsgiApplication:
-    """Return the plain service."""
-    runs = _Runs()
+    """Return the WSGI application of a plain service."""
+    runs = _CallRecord()
     board = FaultBoard(PlainFaults)
 
     def run(request: Request, path: str = "") -> Response:
         faults = board.current
         if faults.refuse or faults.reset_before_run:
-            raise cut_connection(request)
+            raise abort_connection(request)
         if faults.status is not None:
             return error_response(faults.status, "fault", "as the fault says")
         time.sleep((settings.work_ms + faults.delay_ms) / 1000.0)
         count = runs.add(request)
-        # A hung call was executed: its caller can't tell, which is the point of the fault.
+        # A call is recorded as executed before it hangs, and its caller can't tell that it was.
         board.wait_while(lambda current: current.hang)
         if faults.reset_after_run:
-            raise cut_connection(request)
-        answer = _answer(settings.service, count, request, path)
-        return _half(request, answer) if faults.half_answer else answer
+            raise abort_connection(request)
+        response = _echo_response(settings.service, count, request, path)
+        return _truncate_body(request, response) if faults.half_answer else response
 
     rules = [
         Rule(
@@ -113,7 +113,7 @@
     return application([*fault_rules(board, is_down=lambda: board.current.refuse), *rules])
 
 
-def _answer(service: str, count: int, request: Request, path: str) -> Response:
+def _echo_response(service: str, count: int, request: Request, path: str) -> Response:
     echo = request.get_data().decode("utf-8", errors="replace")
     value = {
         "service": service,
@@ -122,21 +122,21 @@
         "method": request.method,
         "echo": echo,
     }
-    answer = json_response(value)
+    response = json_response(value)
     if request.method == "HEAD":
-        answer.response = []
-    return answer
+        response.response = []
+    return response
 
 
-def _half(request: Request, whole: Response) -> Response:
-    body = whole.get_data()
+def _truncate_body(request: Request, complete: Response) -> Response:
+    body = complete.get_data()
 
-    def pieces() -> Iterator[bytes]:
+    def chunks() -> Iterator[bytes]:
         yield body[: len(body) // 2]
-        raise cut_connection(request)
+        raise abort_connection(request)
 
     headers = {"Content-Length": str(len(body))}
-    return Response(pieces(), status=HTTPStatus.OK, headers=headers, content_type=JSON_TYPE)
+    return Response(chunks(), status=HTTPStatus.OK, headers=headers, content_type=JSON_TYPE)
 
 
 if __name__ == "__main__":
--- a/packages/standins/src/carobspool_standins/platform_store.py
+++ b/packages/standins/src/carobspool_standins/platform_store.py
@@ -1,7 +1,8 @@
-"""Stand-in of the users' metadata store, by its published protocol.
+"""Stand-in for the users' metadata store, with its published protocol.
 
-Objects by kind and name with a single revision, conditional writes, and watches that wait. Faults
-are switched by attributes: answers that are lost after the effect, refusals, forgotten history.
+The store holds objects by kind and name under a single revision counter, and supports conditional
+writes and long-polling watches. Attributes switch the faults: responses lost after a write took
+effect, error statuses, compacted history.
 """
 
 from __future__ import annotations
@@ -21,29 +22,29 @@
 
 from carobspool_standins._http import (
     WsgiApplication,
+    abort_connection,
     application,
-    cut_connection,
     json_response,
     make_http_server,
 )
 from carobspool_standins._settings import ServerSettings
 
 PAGE_ITEMS = 500
-MAX_WAIT_S = 30.0
+MAX_WATCH_S = 30.0
 
 Stored = dict[str, Any]
 
 
 @dataclass(slots=True)
 class PlatformFaults:
-    """Faults in force.
+    """Active faults.
 
     Attributes:
-        status: Answer every call with this status; 0 is none.
-        lose_answers: Writes, counted down, whose connection is cut after the effect.
-        cut_before: Writes, counted down, whose connection is cut before the effect.
-        deaf: Watches hear nothing; those that wait stay open.
-        delay_s: Time before each call is looked at, as when the store is slow.
+        status: Status of every response; 0 for none.
+        lose_answers: Number of further writes whose connection is reset after they took effect.
+        cut_before: Number of further writes whose connection is reset before they take effect.
+        deaf: Whether watches receive no events; waiting watches stay open.
+        delay_s: Delay before each call is processed, as in a slow store.
     """
 
     status: int = 0
@@ -55,7 +56,18 @@
 
 @dataclass(slots=True)
 class PlatformObjects:
-    """The objects, their history and what was asked."""
+    """The objects, their history, faults and counts of calls.
+
+    Attributes:
+        revision: Revision of the latest write.
+        floor: Oldest revision from which a watch can start.
+        objects: Objects by kind and name.
+        history: Revision, kind, object and whether it was deleted, for each write.
+        changed: Lock of the state; notified after each write.
+        faults: Active faults of the store.
+        raw_specs: Bytes that replace a placeholder spec in responses, by placeholder.
+        calls: Number of calls by HTTP method, watches as ``watch``.
+    """
 
     revision: int = 1
     floor: int = 0
@@ -63,49 +75,51 @@
     history: list[tuple[int, str, Stored, bool]] = field(default_factory=list)
     changed: threading.Condition = field(default_factory=threading.Condition)
     faults: PlatformFaults = field(default_factory=PlatformFaults)
-    foreign: dict[str, bytes] = field(default_factory=dict)
+    raw_specs: dict[str, bytes] = field(default_factory=dict)
     calls: dict[str, int] = field(default_factory=dict)
 
     def put(self, kind: str, name: str, spec: Any) -> int:
-        """Write as the operator or a server does; return the revision."""
+        """Write an object as an operator or a server would, and return its revision."""
         with self.changed:
             current = self.objects.get((kind, name))
             if current is not None and current["spec"] == spec:
                 return int(current["metadata"]["revision"])
-            return self._store(kind, name, current, {"spec": spec})
+            return self._store_object(kind, name, current, {"spec": spec})
 
     def put_bytes(self, kind: str, name: str, spec: bytes) -> None:
-        """Write an object whose spec is answered as these bytes, whatever they are."""
-        marker = f"foreign {len(self.foreign)}"
-        self.foreign[marker] = spec
-        self.put(kind, name, marker)
+        """Write an object whose spec is returned as these bytes, even if they are not JSON."""
+        placeholder = f"foreign {len(self.raw_specs)}"
+        self.raw_specs[placeholder] = spec
+        self.put(kind, name, placeholder)
 
     def answer(self, body: Any, status: int = HTTPStatus.OK) -> Response:
-        """Return an answer with the bytes of foreign objects in their places."""
+        """Return a JSON response in which raw specs replace their placeholders."""
         data = json.dumps(body).encode()
-        for marker, spec in self.foreign.items():
-            data = data.replace(json.dumps(marker).encode(), spec)
+        for placeholder, spec in self.raw_specs.items():
+            data = data.replace(json.dumps(placeholder).encode(), spec)
         return Response(data, status, content_type="application/json")
 
     def remove(self, kind: str, name: str) -> None:
-        """Remove an object, as when a server has left."""
+        """Remove an object, as when a server deregisters."""
         with self.changed:
-            gone = self.objects.pop((kind, name))
-            self._note(kind, gone, deleted=True)
+            removed = self.objects.pop((kind, name))
+            self._append_history(kind, removed, deleted=True)
 
     def compact(self) -> None:
-        """Forget the history."""
+        """Compact the history: a watch from an older revision fails."""
         with self.changed:
             self.floor = self.revision
             self.changed.notify_all()
 
     def spec(self, kind: str, name: str) -> Any:
-        """Return an object's spec, ``None`` if there is none."""
+        """Return a copy of an object's spec, or ``None`` if the object does not exist."""
         with self.changed:
             found = self.objects.get((kind, name))
             return None if found is None else copy.deepcopy(found["spec"])
 
-    def _store(self, kind: str, name: str, current: Stored | None, changes: dict[str, Any]) -> int:
+    def _store_object(
+        self, kind: str, name: str, current: Stored | None, changes: dict[str, Any]
+    ) -> int:
         base = current or {"metadata": {"finalizers": [], "deleting": False}, "status": None}
         stored = copy.deepcopy(base) | copy.deepcopy(changes)
         created = base["metadata"].get("created_rev", self.revision + 1)
@@ -115,10 +129,10 @@
             "created_rev": created,
         }
         self.objects[(kind, name)] = stored
-        self._note(kind, stored, deleted=False)
+        self._append_history(kind, stored, deleted=False)
         return self.revision
 
-    def _note(self, kind: str, stored: Stored, *, deleted: bool) -> None:
+    def _append_history(self, kind: str, stored: Stored, *, deleted: bool) -> None:
         self.revision += 1
         self.history.append((self.revision, kind, stored, deleted))
         self.changed.notify_all()
@@ -130,26 +144,26 @@
     """Return the store as a WSGI application.
 
     Args:
-        objects: What it holds.
-        faults: Faults of this address alone, for a store that turns single hosts away; the
-            store's own by default.
+        objects: State of the store.
+        faults: Faults of this address alone, for a store that rejects single hosts; the faults
+            of ``objects`` by default.
     """
-    in_force = objects.faults if faults is None else faults
+    active_faults = objects.faults if faults is None else faults
 
     def collection(request: Request, kind: str) -> Response:
-        refused = _begin(objects, in_force, request)
-        if refused is not None:
-            return refused
+        failure = _count_and_inject_faults(objects, active_faults, request)
+        if failure is not None:
+            return failure
         if request.method == "POST":
             return _create(objects, request, kind)
         if "watch" in request.args:
-            return _watch(objects, in_force, request, kind)
+            return _watch(objects, active_faults, request, kind)
         return _list(objects, request, kind)
 
     def member(request: Request, kind: str, name: str) -> Response:
-        refused = _begin(objects, in_force, request)
-        if refused is not None:
-            return refused
+        failure = _count_and_inject_faults(objects, active_faults, request)
+        if failure is not None:
+            return failure
         if request.method == "GET":
             with objects.changed:
                 found = objects.objects.get((kind, name))
@@ -161,9 +175,9 @@
         return _replace(objects, request, kind, name, "spec")
 
     def status(request: Request, kind: str, name: str) -> Response:
-        refused = _begin(objects, in_force, request)
-        if refused is not None:
-            return refused
+        failure = _count_and_inject_faults(objects, active_faults, request)
+        if failure is not None:
+            return failure
         return _replace(objects, request, kind, name, "status")
 
     base = "/api/objects/<kind>"
@@ -180,7 +194,7 @@
 def serve_platform_store(
     objects: PlatformObjects, faults: PlatformFaults | None = None
 ) -> Iterator[str]:
-    """Serve the store on loopback; yield its address and port."""
+    """Serve the store on loopback and yield ``address:port``."""
     app = platform_store_application(objects, faults)
     server = make_http_server(ServerSettings(port=0), app)
     thread = threading.Thread(target=server.serve_forever, args=(0.01,), daemon=True)
@@ -193,7 +207,9 @@
         thread.join()
 
 
-def _begin(objects: PlatformObjects, faults: PlatformFaults, request: Request) -> Response | None:
+def _count_and_inject_faults(
+    objects: PlatformObjects, faults: PlatformFaults, request: Request
+) -> Response | None:
     if faults.delay_s:
         time.sleep(faults.delay_s)
     with objects.changed:
@@ -203,14 +219,14 @@
             return json_response({"error": "refused"}, faults.status)
         if request.method != "GET" and faults.cut_before > 0:
             faults.cut_before -= 1
-            raise cut_connection(request)
+            raise abort_connection(request)
     return None
 
 
-def _written(objects: PlatformObjects, request: Request, kind: str, name: str) -> Response:
+def _write_response(objects: PlatformObjects, request: Request, kind: str, name: str) -> Response:
     if objects.faults.lose_answers > 0:
         objects.faults.lose_answers -= 1
-        raise cut_connection(request)
+        raise abort_connection(request)
     return objects.answer(objects.objects[(kind, name)])
 
 
@@ -221,8 +237,8 @@
         current = objects.objects.get((kind, name))
         if current is not None:
             return objects.answer(current, HTTPStatus.CONFLICT)
-        objects._store(kind, name, None, {"spec": body["spec"]})
-        return _written(objects, request, kind, name)
+        objects._store_object(kind, name, None, {"spec": body["spec"]})
+        return _write_response(objects, request, kind, name)
 
 
 def _replace(
@@ -233,12 +249,12 @@
         current = objects.objects.get((kind, name))
         if current is None:
             return json_response({"error": "no such object"}, HTTPStatus.NOT_FOUND)
-        wanted = body.get("metadata", {}).get("revision")
-        if wanted is not None and wanted != current["metadata"]["revision"]:
+        expected_revision = body.get("metadata", {}).get("revision")
+        if expected_revision is not None and expected_revision != current["metadata"]["revision"]:
             return objects.answer(current, HTTPStatus.CONFLICT)
         if current[part] != body[part]:
-            objects._store(kind, name, current, {part: body[part]})
-        return _written(objects, request, kind, name)
+            objects._store_object(kind, name, current, {part: body[part]})
+        return _write_response(objects, request, kind, name)
 
 
 def _delete(objects: PlatformObjects, request: Request, kind: str, name: str) -> Response:
@@ -246,17 +262,22 @@
         current = objects.objects.get((kind, name))
         if current is None:
             return json_response({"error": "no such object"}, HTTPStatus.NOT_FOUND)
-        wanted = request.args.get("revision")
-        if wanted is not None and int(wanted) != current["metadata"]["revision"]:
+        expected_revision = request.args.get("revision")
+        if (
+            expected_revision is not None
+            and int(expected_revision) != current["metadata"]["revision"]
+        ):
             return objects.answer(current, HTTPStatus.CONFLICT)
-        objects._note(kind, objects.objects.pop((kind, name)), deleted=True)
+        objects._append_history(kind, objects.objects.pop((kind, name)), deleted=True)
         return json_response({})
 
 
 def _list(objects: PlatformObjects, request: Request, kind: str) -> Response:
     after = request.args.get("after", "")
     with objects.changed:
-        names = sorted(name for each, name in objects.objects if each == kind and name > after)
+        names = sorted(
+            name for stored_kind, name in objects.objects if stored_kind == kind and name > after
+        )
         items = [objects.objects[(kind, name)] for name in names[:PAGE_ITEMS]]
         more = len(names) > PAGE_ITEMS
         return objects.answer({"items": items, "more": more, "as_of": objects.revision})
@@ -266,8 +287,8 @@
     objects: PlatformObjects, faults: PlatformFaults, request: Request, kind: str
 ) -> Response:
     since = int(request.args["watch"])
-    wait_s = min(MAX_WAIT_S, int(request.args.get("wait_ms", "0")) / 1000.0)
-    until = time.monotonic() + wait_s
+    wait_s = min(MAX_WATCH_S, int(request.args.get("wait_ms", "0")) / 1000.0)
+    deadline = time.monotonic() + wait_s
     with objects.changed:
         while True:
             if faults.status:
@@ -276,10 +297,10 @@
                 return json_response({"error": "history is gone"}, HTTPStatus.GONE)
             events = [
                 {"object": stored, "deleted": deleted}
-                for revision, each, stored, deleted in objects.history
-                if each == kind and revision > since and not faults.deaf
+                for revision, stored_kind, stored, deleted in objects.history
+                if stored_kind == kind and revision > since and not faults.deaf
             ]
-            left = until - time.monotonic()
-            if events or left <= 0:
+            remaining_s = deadline - time.monotonic()
+            if events or remaining_s <= 0:
                 return objects.answer({"events": events, "as_of": objects.revision})
-            objects.changed.wait(min(left, 0.05))
+            objects.changed.wait(min(remaining_s, 0.05))
