--- a/packages/standins/tests/conftest.py
+++ b/packages/standins/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Stand-ins served in threads of the test process, on loopback."""
+"""Fixtures that serve stand-ins on loopback, in threads of the test process."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @pytest.fixture
 def serve() -> Iterator[Serve]:
-    """Return a function that serves an application and gives a client of it."""
+    """Return a function that serves a WSGI application and returns a client for it."""
     servers = []
 
     def start(app: WsgiApplication) -> HttpClient:
--- a/packages/standins/tests/test_engine.py
+++ b/packages/standins/tests/test_engine.py
@@ -1,4 +1,4 @@
-"""Contract of the engine."""
+"""Contract of the stand-in for an engine."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def settings(**changes) -> EngineSettings:
-    """Return settings of a fast engine."""
+    """Return settings for an engine with short steps and no lags or gaps."""
     values = {
         "port": 0,
         "models": (LoadedModel(name="m"),),
@@ -35,7 +35,7 @@
 
 @pytest.fixture
 def client(serve) -> HttpClient:
-    """Return a client of a fast engine."""
+    """Return a client of an engine with short steps."""
     return serve(make_application(settings()))
 
 
@@ -45,19 +45,19 @@
 
 
 def events(body: bytes) -> list:
-    """Return the events of a whole stream, without the last mark."""
+    """Return the events of a complete stream, without ``[DONE]``."""
     lines = [line[6:] for line in body.decode().split("\n\n") if line]
     assert lines[-1] == "[DONE]"
     return [json.loads(line) for line in lines[:-1]]
 
 
 def text_of(body: bytes) -> str:
-    """Return the text of a streamed chat answer."""
+    """Return the text of a streamed chat completion."""
     return "".join(e["choices"][0]["delta"].get("content", "") for e in events(body))
 
 
 def wait_for(condition) -> None:
-    """Wait until a condition holds that another thread brings about."""
+    """Poll until a condition holds, and fail after 10 seconds."""
     deadline = time.monotonic() + 10
     while not condition():
         assert time.monotonic() < deadline, "the condition never held"
@@ -65,12 +65,12 @@
 
 
 def outcomes(client: HttpClient) -> list:
-    """Return the outcomes on record."""
+    """Return the outcomes in the run record."""
     return [run["outcome"] for run in client.call("GET", "/record").json["runs"]]
 
 
 def test_stream_equals_whole_answer(client):
-    """Every run of a request gives the same text, streamed or not, and is on record."""
+    """Runs of a request return the same text, streamed or not, and appear in the record."""
     whole = client.call("POST", CHAT, json_body=chat(max_tokens=12), headers={"X-Request-Id": "r1"})
     streamed = client.call("POST", CHAT, json_body=chat(max_tokens=12, stream=True))
     message = whole.json["choices"][0]["message"]["content"]
@@ -88,7 +88,7 @@
     [({"max_tokens": 5}, 5), ({"min_tokens": 300}, 300), ({"max_tokens": 7, "min_tokens": 9}, 7)],
 )
 def test_length_bounds(client, options, count):
-    """The bounds of a request decide the length of its answer."""
+    """The token bounds of a request determine the length of its answer."""
     reply = client.call("POST", CHAT, json_body=chat(**options)).json
     assert reply["usage"]["completion_tokens"] == count
 
@@ -105,14 +105,14 @@
     ],
 )
 def test_bad_requests(client, path, body, status, code):
-    """A bad request is refused with a code and is not on record."""
+    """An invalid request is rejected with an error code and does not appear in the record."""
     reply = client.call("POST", path, body=body)
     assert (reply.status, reply.json["error"]["code"]) == (status, code)
     assert outcomes(client) == []
 
 
 def test_completions_endpoint(client):
-    """The plain endpoint takes a prompt and gives text."""
+    """The completions endpoint accepts a prompt and returns text."""
     body = {"model": "m", "prompt": "once", "max_tokens": 3}
     assert (
         len(client.call("POST", "/v1/completions", json_body=body).json["choices"][0]["text"]) > 5
@@ -123,7 +123,7 @@
     ("keep", "kv_tokens", "status"), [(True, 1000, 200), (True, 0, 404), (False, 1000, 404)]
 )
 def test_cancel_and_resume(serve, keep, kv_tokens, status):
-    """A cancelled stream ends as such; with its KV kept it goes on where it stopped."""
+    """A cancelled stream ends as cancelled, and resumes where it stopped if its KV was kept."""
     client = serve(make_application(settings(kv_tokens=kv_tokens)))
     body = chat(min_tokens=400, max_tokens=400, stream=True)
     with ThreadPoolExecutor(1) as pool:
@@ -144,8 +144,8 @@
         assert outcomes(client) == ["cancelled", "done", "done"]
 
 
-def test_client_that_leaves_is_an_abort(client):
-    """A closed connection stops the stream, also one that is not streamed."""
+def test_client_disconnect_aborts_the_run(client):
+    """A closed connection aborts the run of a streamed and of an unstreamed request."""
     for stream in (True, False):
         own = HttpClient(client.base, timeout_ms=30)
         with pytest.raises(NoAnswer):
@@ -156,10 +156,10 @@
 
 
 def test_arrival_order_and_slots(serve):
-    """With one slot, requests run one after another as they came.
+    """With one slot, requests run one at a time, in order of arrival.
 
-    The engine is slow until its load is read: the first run would be over by then on a machine
-    that takes long to send three requests.
+    The engine is slowed down until its load is read. Otherwise, on a machine that is slow to send
+    three requests, the first run could end before the load is read.
     """
     client = serve(make_application(settings(slots=1)))
     client.call("POST", "/faults", json_body={"slow_factor": 1000.0})
@@ -180,7 +180,7 @@
 
 
 def test_prefix_cache_skips_prefill(serve):
-    """A repeated prefix is not prefilled again, and cache events tell of it."""
+    """A cached prefix is not prefilled again, and cache events report stores and evictions."""
     client = serve(make_application(settings(step_prefill_ms=0.5, block_tokens=10, kv_tokens=300)))
     body = chat("w" * 800, max_tokens=1)
     durations = []
@@ -197,7 +197,7 @@
 
 
 def test_load_report_lags(serve):
-    """The report is the load of some time ago."""
+    """The load report shows the load as it was ``load_lag_ms`` ago."""
     client = serve(make_application(settings(load_lag_ms=60_000)))
     with ThreadPoolExecutor(1) as pool:
         pending = pool.submit(HttpClient(client.base).call, "POST", CHAT, json_body=chat())
@@ -218,7 +218,7 @@
     ],
 )
 def test_fencing(serve, check, fence, status):
-    """Only an engine that checks refuses an old fencing number."""
+    """Only an engine that checks fencing rejects a stale or missing fencing number."""
     client = serve(make_application(settings(check_fence=check)))
     order = {"order": "load", "model": "n", "version": "2", "fence": [2, 1]}
     assert client.call("POST", "/orders", json_body=order).json["models"]["n"]["state"] == "ready"
@@ -231,7 +231,7 @@
 
 
 def test_order_key(serve):
-    """An engine with an order key refuses orders without it."""
+    """An engine with an order key rejects orders without the key."""
     client = serve(make_application(settings(order_key="k")))
     order = {"order": "unload", "model": "m"}
     assert client.call("POST", "/orders", json_body=order).status == 403
@@ -240,8 +240,8 @@
     assert client.call("POST", CHAT, json_body=chat()).status == 404
 
 
-def test_loads_come_from_the_weight_store(serve):
-    """A load waits for the weights; when they don't come, what ran before runs on."""
+def test_load_downloads_from_the_weight_store(serve):
+    """A load downloads the weights; if the download fails, the previous version stays."""
     store = serve(make_weights(WeightsSettings(port=0, bytes_per_second=1e9)))
     client = serve(make_application(settings(weight_store=store.base, weight_bytes=100_000)))
     order = {"order": "load", "model": "m", "version": "2"}
@@ -270,7 +270,7 @@
     ],
 )
 def test_faults(client, faults, stream, status, outcome):
-    """Each fault gives its ending to the client and its outcome on record."""
+    """Each fault determines what the client receives and which outcome is recorded."""
     client.call("POST", "/faults", json_body=faults)
     body = chat(min_tokens=40, max_tokens=40, stream=stream)
     try:
@@ -283,8 +283,8 @@
     assert client.call("POST", CHAT, json_body=body).status == 200
 
 
-def test_hang_is_on_record(client):
-    """A request that hangs was read, and runs when the fault is lifted."""
+def test_hanging_request_is_recorded(client):
+    """A hanging request is recorded without an outcome, and runs once the fault is cleared."""
     client.call("POST", "/faults", json_body={"hang": True})
     with ThreadPoolExecutor(1) as pool:
         pending = pool.submit(HttpClient(client.base).call, "POST", CHAT, json_body=chat())
@@ -293,8 +293,8 @@
         assert pending.result().status == 200
 
 
-def test_crash_takes_others_along(client):
-    """A crash in mode restart cuts all streams, loses state and refuses for a while."""
+def test_crash_ends_all_streams(client):
+    """A crash in mode ``restart`` resets all streams and loses state; then calls are refused."""
     client.call("POST", "/orders", json_body={"order": "load", "model": "n"})
     client.call(
         "POST",
--- a/packages/standins/tests/test_hosts.py
+++ b/packages/standins/tests/test_hosts.py
@@ -1,4 +1,4 @@
-"""Contract of the host list."""
+"""Contract of the stand-in for the host list."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def test_list_lags_behind_changes(serve):
-    """A change is seen once the lag is over, and not before."""
+    """A change appears in the list only after the lag; an outage answers 503."""
     settings = HostsSettings(port=0, lag_ms=60_000, hosts=(HostRecord(**HOST),))
     client = serve(make_application(settings))
     leaving = HOST | {"state": "leaving"}
@@ -28,8 +28,8 @@
     ("name", "record", "status"),
     [("up-1", {"host": "up-1"}, 400), ("up-2", HOST, 400), ("up-1", HOST, 200)],
 )
-def test_records_are_checked(serve, name, record, status):
-    """Only a whole record under its own name is taken."""
+def test_records_are_validated(serve, name, record, status):
+    """A record is accepted only if it is complete and names the host of the path."""
     client = serve(make_application(HostsSettings(port=0)))
     assert client.call("PUT", f"/hosts/{name}", json_body=record).status == status
     assert client.call("DELETE", "/hosts/none").status == 404
--- a/packages/standins/tests/test_objects.py
+++ b/packages/standins/tests/test_objects.py
@@ -1,4 +1,4 @@
-"""Contract of the object API."""
+"""Contract of the stand-in for the object API."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def put(client: HttpClient, key: str, value: str, version: int) -> Reply:
-    """Write one object under a condition."""
+    """Write an object if its current version is ``version``."""
     headers = {"If-Version": str(version)}
     return client.call("PUT", f"/objects/{key}", body=value, headers=headers)
 
@@ -44,7 +44,7 @@
     ],
 )
 def test_conditional_calls(client, method, key, version, body, status, present):
-    """Each condition gives the status that the interface page names."""
+    """Each combination of call and condition returns the documented status."""
     put(client, "a/b", "first", 0)
     headers = {"If-Version": version} if version is not None else {}
     reply = client.call(method, f"/objects/{key}", body=body, headers=headers)
@@ -53,8 +53,8 @@
         assert reply.headers["object-version"] == present
 
 
-def test_versions_are_one_counter(client):
-    """A version is the revision of the whole store at the write."""
+def test_versions_share_one_counter(client):
+    """The version of an object is the revision of the whole store after its last write."""
     assert put(client, "a", "1", 0).headers["object-version"] == "1"
     assert put(client, "b", "1", 0).headers["object-version"] == "2"
     assert put(client, "a", "2", 1).headers["object-version"] == "3"
@@ -63,7 +63,7 @@
 
 
 def test_list_pages(client):
-    """A listing goes in key order within its prefix, a page at a time."""
+    """A listing returns the keys under a prefix in order, one page at a time."""
     for key in ("p/2", "q", "p/1", "p/3", "o"):
         put(client, key, key, 0)
     first = client.call("GET", "/list?prefix=p/&limit=2").json
@@ -75,7 +75,7 @@
 
 
 def test_watch_wakes_and_compacts(client, serve):
-    """A watch sees a later write at once, times out empty, and answers 410 for lost history."""
+    """A watch returns on a write, times out empty, and answers 410 for discarded history."""
     assert client.call("GET", "/watch?prefix=a&from=0&timeout=10").json["events"] == []
     with ThreadPoolExecutor(1) as pool:
         other = HttpClient(client.base)
@@ -90,7 +90,7 @@
 
 
 def test_watch_shows_deletes_and_lag(client):
-    """With a watch lag, events are hidden until they are old enough."""
+    """Watches report deletions, and hide events that are younger than the watch lag."""
     put(client, "a", "x", 0)
     client.call("DELETE", "/objects/a", headers={"If-Version": "1"})
     client.call("POST", "/faults", json_body={"watch_lag_ms": 60_000})
@@ -101,8 +101,8 @@
 
 
 @pytest.mark.parametrize(("fault", "applied"), [("lose_answer", True), ("drop_before", False)])
-def test_answer_lost(client, fault, applied):
-    """A cut connection tells nothing of whether the write took effect."""
+def test_lost_response(client, fault, applied):
+    """A write whose connection is reset has taken effect or not, depending on the fault."""
     client.call("POST", "/faults", json_body={fault: {"prefix": "c/", "count": 1}})
     assert put(client, "other", "x", 0).status == 200
     with pytest.raises(NoAnswer):
@@ -119,8 +119,8 @@
         ({"delay_ms": 1}, 404, 200),
     ],
 )
-def test_refusals(client, faults, get, write):
-    """A refused call has no effect, and the counters still count it."""
+def test_rejected_calls(client, faults, get, write):
+    """A rejected call has no effect, but is counted."""
     client.call("POST", "/faults", json_body=faults)
     assert client.call("GET", "/objects/a").status == get
     assert put(client, "a", "x", 0).status == write
@@ -128,8 +128,8 @@
     assert len(client.call("GET", "/history?after=0").json["events"]) == (1 if write == 200 else 0)
 
 
-def test_freeze_hangs_until_lifted(client):
-    """A frozen call waits and then goes on."""
+def test_freeze_blocks_calls_until_cleared(client):
+    """A call blocks while the store is frozen, and then continues."""
     client.call("POST", "/faults", json_body={"freeze": True})
     with ThreadPoolExecutor(1) as pool:
         pending = pool.submit(put, HttpClient(client.base), "a", "x", 0)
@@ -139,14 +139,14 @@
         assert pending.result().status == 200
 
 
-def test_unknown_fault_is_refused(client):
-    """A misspelt fault is told, so that a test can't pass without it."""
+def test_unknown_fault_is_rejected(client):
+    """An unknown fault is rejected; a misspelt one could otherwise let a test pass without it."""
     assert client.call("POST", "/faults", json_body={"outrage": True}).status == 400
     assert client.call("GET", "/faults").json["outage"] is False
 
 
 def test_one_winner_per_version(client):
-    """Of many conditional writes on one version exactly one succeeds, and history shows it."""
+    """Of concurrent writes on one version, exactly one succeeds and appears in the history."""
 
     def attempt(worker: int) -> int:
         own = HttpClient(client.base)
--- a/packages/standins/tests/test_plain.py
+++ b/packages/standins/tests/test_plain.py
@@ -1,4 +1,4 @@
-"""Contract of the plain service."""
+"""Contract of the stand-in for a plain service."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
     return serve(make_application(PlainSettings(port=0, service="orders")))
 
 
-def test_every_call_counts(client):
-    """Each executed call grows the count and is on record with its key and digest."""
+def test_every_call_is_counted_and_recorded(client):
+    """Each executed call increments the count and is recorded with its key and digest."""
     headers = {"X-Request-Id": "r", "Idempotency-Key": "k"}
     first = client.call("POST", "/status/7?x=1", body="ping", headers=headers).json
     assert first == {
@@ -47,7 +47,7 @@
     ],
 )
 def test_faults(client, faults, status, executed):
-    """The record tells whether a call was executed, whatever its caller saw."""
+    """The record shows whether a call was executed, whatever response its caller received."""
     client.call("POST", "/faults", json_body=faults)
     try:
         found = client.call("POST", "/pay", body="x").status
--- a/packages/standins/tests/test_relay.py
+++ b/packages/standins/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""The relay between failure domains."""
+"""Delays and faults of the relay between failure domains."""
 
 from __future__ import annotations
 
@@ -17,24 +17,24 @@
 
 
 def test_delay_hold_and_cut(serve):
-    """A call takes the delay twice, waits while held, and breaks when cut."""
+    """A call takes at least twice the one-way delay, blocks while held and fails while cut."""
     plain = serve(make_plain(PlainSettings(port=0)))
     port = PortChooser().choose()
     route = RelayRoute(port=port, target=int(plain.base.rpartition(":")[2]))
     relay = serve(make_application(RelaySettings(port=0, delay_ms=DELAY_MS, routes=(route,))))
-    far = HttpClient(f"http://127.0.0.1:{port}", timeout_ms=5000)
+    relayed = HttpClient(f"http://127.0.0.1:{port}", timeout_ms=5000)
     start = time.monotonic()
-    assert far.call("POST", "/x", body="y" * 500_000).json["count"] == 1
+    assert relayed.call("POST", "/x", body="y" * 500_000).json["count"] == 1
     assert time.monotonic() - start >= 2 * DELAY_MS / 1000.0
     relay.call("POST", "/faults", json_body={"hold": True})
     with ThreadPoolExecutor(1) as pool:
-        pending = pool.submit(far.call, "GET", "/x")
+        pending = pool.submit(relayed.call, "GET", "/x")
         with pytest.raises(NoAnswer):
-            HttpClient(far.base, timeout_ms=100).call("GET", "/x")
+            HttpClient(relayed.base, timeout_ms=100).call("GET", "/x")
         relay.call("POST", "/faults/reset")
         assert pending.result().status == 200
     relay.call("POST", "/faults", json_body={"cut": True})
     with pytest.raises(NoAnswer):
-        far.call("GET", "/x")
+        relayed.call("GET", "/x")
     relay.call("POST", "/faults/reset")
-    assert far.call("GET", "/x").status == 200
+    assert relayed.call("GET", "/x").status == 200
--- a/packages/standins/tests/test_settings.py
+++ b/packages/standins/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings files and the command line of the stand-ins."""
+"""Loading of settings files, and the command line of the stand-ins."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 @pytest.mark.parametrize(
     "text", ["{", "{}", '{"port": 0, "prot": 1}', '{"port": 70000}', '{"port": "x"}']
 )
-def test_bad_settings_are_refused(tmp_path, text):
-    """A file that is not valid is refused with a typed error."""
+def test_invalid_settings_are_rejected(tmp_path, text):
+    """An invalid settings file raises ``SettingsError``."""
     path = tmp_path / "settings.json"
     path.write_text(text)
     with pytest.raises(SettingsError):
@@ -25,7 +25,7 @@
 
 @pytest.mark.parametrize("name", ["engine", "plain", "objects", "hosts", "weights"])
 def test_process_starts_and_ends(tmp_path, name):
-    """A process tells its port when it listens and ends on SIGTERM with exit code 0."""
+    """A process prints its port once it listens, and exits with code 0 on SIGTERM."""
     path = tmp_path / "settings.json"
     path.write_text('{"port": 0} // any port')
     command = [sys.executable, "-m", f"carobspool_standins.{name}", str(path)]
--- a/packages/standins/tests/test_weights.py
+++ b/packages/standins/tests/test_weights.py
@@ -1,4 +1,4 @@
-"""Contract of the weight store."""
+"""Contract of the stand-in for the weight store."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def test_rate_is_shared(serve):
-    """Two downloads at once take as long as both one after the other."""
+    """Two concurrent downloads share the rate, so take as long as two in sequence."""
     client = serve(make_application(WeightsSettings(port=0, bytes_per_second=2_000_000)))
     start = time.monotonic()
     with ThreadPoolExecutor(2) as pool:
@@ -23,23 +23,25 @@
     assert client.call("GET", "/calls").json == {"calls": 2, "refused": 0, "bytes": 400_000}
 
 
-def test_places_are_limited_and_given_back(serve):
-    """A download too many is refused with when to come back; one that is left frees its place."""
+def test_download_slots_are_limited_and_released(serve):
+    """A download over the limit gets 429 with Retry-After; an aborted one frees its slot."""
     settings = WeightsSettings(port=0, bytes_per_second=1_000_000, concurrent=1)
     client = serve(make_application(settings))
-    seen = []
+    replies = []
 
-    def busy(piece: bytes) -> int:
-        if not seen:
-            seen.append(HttpClient(client.base).call("GET", "/weights/m/1"))
+    def try_second_download(piece: bytes) -> int:
+        if not replies:
+            replies.append(HttpClient(client.base).call("GET", "/weights/m/1"))
         return -1
 
     try:
-        HttpClient(client.base).call("GET", "/weights/m/1?bytes=5000000", on_data=busy)
+        HttpClient(client.base).call(
+            "GET", "/weights/m/1?bytes=5000000", on_data=try_second_download
+        )
     except Exception as error:
         assert type(error).__name__ == "NoAnswer"
-    assert seen[0].status == 429
-    assert seen[0].headers["retry-after"] == "1"
+    assert replies[0].status == 429
+    assert replies[0].headers["retry-after"] == "1"
     deadline = time.monotonic() + 5
     while client.call("GET", "/weights/m/1?bytes=1").status != 200:
         assert time.monotonic() < deadline
