--- a/packages/standins/src/carobspool_standins/_engine.py
+++ b/packages/standins/src/carobspool_standins/_engine.py
@@ -25,7 +25,7 @@
 
 
 class InvalidResumeToken(StandinError):
-    """A resume starts after a token that was not produced yet."""
+    """The position of a resume lies outside the tokens produced so far."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -117,7 +117,7 @@
         """Continue a cancelled stream whose KV was kept; return ``None`` if it was not.
 
         Raises:
-            InvalidResumeToken: If ``from_token`` was not produced yet.
+            InvalidResumeToken: If ``from_token`` is outside the tokens produced so far.
         """
         previous = self._find_job(stream_id)
         if previous is None:
--- a/packages/standins/src/carobspool_standins/_object_table.py
+++ b/packages/standins/src/carobspool_standins/_object_table.py
@@ -82,7 +82,7 @@
         """Write an object if its current version is ``version`` (0: it does not exist).
 
         Raises:
-            VersionConflict: If it is another one; nothing changes.
+            VersionConflict: If the version differs; nothing changes.
         """
         with self._lock:
             existing = self._objects.get(key)
@@ -97,7 +97,7 @@
         """Remove an object if its version is ``version``; return ``None`` if it does not exist.
 
         Raises:
-            VersionConflict: If it is another one; nothing changes.
+            VersionConflict: If the version differs; nothing changes.
         """
         with self._lock:
             existing = self._objects.get(key)
--- a/packages/standins/src/carobspool_standins/_relay_link.py
+++ b/packages/standins/src/carobspool_standins/_relay_link.py
@@ -22,7 +22,7 @@
     Attributes:
         delay_ms: One-way delay, which overrides that of the settings.
         hold: Whether data is held in both directions, as in a partition, until the fault ends.
-        hold_answers: Whether data from the target is held, as when a link is down sock way.
+        hold_answers: Whether data from the target is held, as when a link is down one way.
         cut: Whether open connections are closed, and new ones closed at once.
     """
 
@@ -33,12 +33,12 @@
 
 
 class Relay:
-    """Forwards the connections of sock port to another, with a delay in each direction.
+    """Forwards the connections of one port to another, with a delay in each direction.
 
     Args:
         listener: Listening socket.
         target: Address and port to connect to.
-        delay_ms: Returns the current sock-way delay.
+        delay_ms: Returns the current one-way delay.
         board: Active faults.
     """
 
