--- a/packages/core/src/carobspool_core/direct/__init__.py
+++ b/packages/core/src/carobspool_core/direct/__init__.py
@@ -3,8 +3,13 @@
 The package uses no network, no threads and no wall clock; callers pass in the time.
 """
 
-from carobspool_core.direct._backlog import Backlog, WaitingGroup, group_waiting
-from carobspool_core.direct._batch_order import BatchUrgency, ItemPace, turn_of, urgency_of
+from carobspool_core.direct._backlog import PeerBacklog, WaitingGroup, group_by_start_order
+from carobspool_core.direct._batch_order import (
+    BatchUrgency,
+    ItemDurationEstimate,
+    start_order_of,
+    urgency_of,
+)
 from carobspool_core.direct._configuration import (
     CallerLimits,
     Configuration,
@@ -15,8 +20,8 @@
 from carobspool_core.direct._events import EventSplitter, StreamEvent
 from carobspool_core.direct._failure_reports import FailureReports
 from carobspool_core.direct._fleet_loads import NO_LOAD, PEER_LOAD_TTL, FleetLoads, Load
-from carobspool_core.direct._groups import group_count, members_of_group, part_of_group
-from carobspool_core.direct._handover import Successor, lets_jobs_go
+from carobspool_core.direct._groups import group_count, group_of_entry, upstreams_of_group
+from carobspool_core.direct._handover import HandoverCandidate, should_release_jobs
 from carobspool_core.direct._job_codec import (
     job_from_json,
     job_to_json,
@@ -25,7 +30,7 @@
     results_from_json,
 )
 from carobspool_core.direct._job_work import (
-    ItemEnd,
+    ItemOutcome,
     ItemResult,
     ItemWork,
     JobInput,
@@ -59,12 +64,12 @@
 )
 from carobspool_core.direct._queueing import (
     MeanDuration,
-    can_end,
-    given_up_at,
-    has_returned,
+    can_finish_in_time,
+    failover_at,
+    is_retry_by_deadline,
     queue_limit,
-    return_after,
-    return_after_outage,
+    retry_delay,
+    retry_delay_in_outage,
 )
 from carobspool_core.direct._shared_view import SharedView
 from carobspool_core.direct._upstream_identity import (
@@ -76,7 +81,7 @@
 )
 from carobspool_core.direct._upstreams import LAPSE_GRACE, Upstream, UpstreamList, UpstreamsView
 from carobspool_core.direct._waiting_quota import fits_quota
-from carobspool_core.direct._watch_duty import DutyCandidate, has_watch_duty
+from carobspool_core.direct._watch_duty import WatchCandidate, should_watch_store
 
 __all__ = [
     "BATCH_RESERVE",
@@ -89,16 +94,16 @@
     "NO_LOAD",
     "PEER_LOAD_TTL",
     "SILENT_AFTER",
-    "Backlog",
+    "PeerBacklog",
     "BatchUrgency",
     "CallerLimits",
     "Configuration",
-    "DutyCandidate",
+    "WatchCandidate",
     "EventSplitter",
     "FailureReports",
     "FleetLoads",
-    "ItemEnd",
-    "ItemPace",
+    "ItemOutcome",
+    "ItemDurationEstimate",
     "ItemResult",
     "ItemWork",
     "JobInput",
@@ -115,7 +120,7 @@
     "RouteKind",
     "SharedView",
     "StreamEvent",
-    "Successor",
+    "HandoverCandidate",
     "Upstream",
     "UpstreamList",
     "UpstreamsView",
@@ -123,34 +128,34 @@
     "WeightedService",
     "by_identity",
     "by_instance",
-    "can_end",
+    "can_finish_in_time",
     "choose_batch_upstream",
     "choose_upstream",
     "excess_of_batch",
     "fits_quota",
-    "given_up_at",
+    "failover_at",
     "group_count",
-    "group_waiting",
-    "has_returned",
+    "group_by_start_order",
+    "is_retry_by_deadline",
     "has_time_for_job_call",
     "has_time_to_serve",
-    "has_watch_duty",
+    "should_watch_store",
     "identity_of",
     "job_from_json",
     "job_to_json",
     "key_of",
     "latest_starts",
-    "lets_jobs_go",
-    "members_of_group",
-    "part_of_group",
+    "should_release_jobs",
+    "group_of_entry",
+    "upstreams_of_group",
     "progress_from_json",
     "progress_to_json",
     "queue_limit",
     "results_from_json",
-    "return_after",
-    "return_after_outage",
+    "retry_delay",
+    "retry_delay_in_outage",
     "room_for_batch",
     "share_of_excess",
-    "turn_of",
+    "start_order_of",
     "urgency_of",
 ]
--- a/packages/core/src/carobspool_core/direct/_backlog.py
+++ b/packages/core/src/carobspool_core/direct/_backlog.py
@@ -5,11 +5,11 @@
 common order all entries start items at once, exceed the free slots and cancel each other's runs.
 Items with a late due time at one entry also run before items with an early due time at another.
 
-Entries therefore send each other the turns (sort keys, see `turn_of`) of their waiting items. An
-entry starts an item only if there are more free slots than items of other entries with a lower
-turn. Items that can no longer be on time also have turns, behind all others: under overload most
-waiting items are late, and without turns all entries would start one at each slot that becomes
-free.
+Entries therefore send each other the start orders (sort keys, see `start_order_of`) of their
+waiting items. An entry starts an item only if there are more free slots than items of other entries
+with a lower start order. Items that can no longer be on time also have a start order, behind all
+others: under overload most waiting items are late, and without a start order all entries would
+start one at each slot that becomes free.
 """
 
 from __future__ import annotations
@@ -32,26 +32,27 @@
 
 
 class WaitingGroup(Struct, frozen=True):
-    """Waiting items of one entry that have the same turn.
+    """Waiting items of one entry that have the same start order.
 
     Attributes:
-        turn: Sort key of the items, see `turn_of`.
+        start_order: Sort key of the items, see `start_order_of`.
         items: Number of items.
     """
 
-    turn: Millis
+    start_order: Millis
     items: int
 
 
-def group_waiting(turns: Iterable[Millis]) -> tuple[WaitingGroup, ...]:
-    """Group waiting items by turn and return the groups that a hint reports, lowest turn first."""
-    counted = Counter(turns)
+def group_by_start_order(start_orders: Iterable[Millis]) -> tuple[WaitingGroup, ...]:
+    """Group waiting items by start order and return the groups for a hint, the lowest first."""
+    counted = Counter(start_orders)
     return tuple(
-        WaitingGroup(turn, counted[turn]) for turn in sorted(counted)[:MAX_GROUPS_PER_HINT]
+        WaitingGroup(start_order, counted[start_order])
+        for start_order in sorted(counted)[:MAX_GROUPS_PER_HINT]
     )
 
 
-class Backlog:
+class PeerBacklog:
     """The items that wait at other entries.
 
     Not thread-safe; callers pass in the time.
@@ -63,32 +64,32 @@
         self._peer_reports: dict[str, tuple[Millis, Sequence[WaitingGroup]]] = {}
         self._held_since: Millis | None = None
 
-    def take(self, peer: str, groups: Sequence[WaitingGroup], now: Millis) -> None:
+    def update_peer(self, peer: str, groups: Sequence[WaitingGroup], now: Millis) -> None:
         """Replace the reported waiting items of another entry."""
         if groups:
             self._peer_reports[peer] = (now, groups)
         else:
             self._peer_reports.pop(peer, None)
 
-    def may_start(self, turn: Millis, *, room: int, now: Millis) -> bool:
+    def may_start(self, start_order: Millis, *, free_slots: int, now: Millis) -> bool:
         """Return whether this entry may start an item before the other entries start theirs.
 
         Args:
-            turn: Turn of the item.
-            room: Slots that are free for the item.
+            start_order: Start order of the item.
+            free_slots: Slots that are free for the item.
             now: Current time.
         """
-        if room > self._items_ahead(turn, now):
+        if free_slots > self._items_ahead(start_order, now):
             self._held_since = None
             return True
-        if room <= 0:
+        if free_slots <= 0:
             self._held_since = None
             return False
         if self._held_since is None:
             self._held_since = now
         return now - self._held_since > MAX_HOLD_TIME
 
-    def _items_ahead(self, turn: Millis, now: Millis) -> int:
+    def _items_ahead(self, start_order: Millis, now: Millis) -> int:
         ahead = 0
         for peer, (received_at, groups) in list(self._peer_reports.items()):
             age = now - received_at
@@ -96,6 +97,6 @@
                 del self._peer_reports[peer]
                 continue
             for group in groups:
-                if group.turn - age < turn:
+                if group.start_order - age < start_order:
                     ahead += group.items
         return ahead
--- a/packages/core/src/carobspool_core/direct/_batch_order.py
+++ b/packages/core/src/carobspool_core/direct/_batch_order.py
@@ -34,12 +34,12 @@
 """Share of a job's retention after which a late item no longer waits for items with time to spare.
 After the retention the item may be given up, but every accepted item should finish: starting at
 36 s of 60 leaves time for four runs."""
-MAX_ON_TIME_TURN: Millis = 2_000_000_000.0
-"""Turn of an item that is due in 23 days or later; lower turns are the time until due."""
-LATE_TURN_BASE: Millis = 3_000_000_000.0
-"""Turn of a late item that is due now; items that were due earlier have lower turns."""
-RESCUED_TURN_SPREAD: Millis = 1_000.0
-"""Range of turns over which rescued items are spread, older items first."""
+MAX_ON_TIME_START_ORDER: Millis = 2_000_000_000.0
+"""Start order of an item that is due in 23 days or later; lower values are the time until due."""
+LATE_START_ORDER_BASE: Millis = 3_000_000_000.0
+"""Start order of a late item that is due now; items that were due earlier have lower ones."""
+RESCUED_START_ORDER_SPREAD: Millis = 1_000.0
+"""Range of start orders over which rescued items are spread, older items first."""
 _SMOOTHING = 0.1
 
 
@@ -53,7 +53,7 @@
     URGENT = 4
 
 
-class ItemPace:
+class ItemDurationEstimate:
     """Moving averages over runs of this entry: events of an item, and time of an event."""
 
     __slots__ = ("_mean_events", "_mean_event_time")
@@ -62,16 +62,16 @@
         self._mean_events = INITIAL_EVENTS_PER_ITEM
         self._mean_event_time: Millis = INITIAL_EVENT_TIME
 
-    def ended(self, *, events: int) -> None:
+    def record_item(self, *, events: int) -> None:
         """Record the number of events of a completed item."""
         self._mean_events += (events - self._mean_events) * _SMOOTHING
 
-    def ran(self, *, events: int, duration: Millis) -> None:
+    def record_run(self, *, events: int, duration: Millis) -> None:
         """Record the number of events that a run received and its duration."""
         if events > 0:
             self._mean_event_time += (duration / events - self._mean_event_time) * _SMOOTHING
 
-    def remaining(self, last_event: int) -> Millis:
+    def estimate_remaining(self, last_event: int) -> Millis:
         """Estimate how long an item still runs after its event ``last_event``."""
         left = max(self._mean_events - last_event, self._mean_events * MIN_REMAINING_SHARE)
         return left * self._mean_event_time
@@ -99,12 +99,12 @@
     return BatchUrgency.ORDINARY
 
 
-def turn_of(
+def start_order_of(
     urgency: BatchUrgency, *, age: Millis, completion_target: Millis, remaining: Millis
 ) -> Millis:
-    """Return the sort key of an item among the items of all entries; the lowest turn starts first.
+    """Return the sort key of an item among the items of all entries; the lowest one starts first.
 
-    All turns decrease with time at the same rate.
+    All start orders decrease with time at the same rate.
 
     Args:
         urgency: Urgency of the item.
@@ -114,8 +114,10 @@
     """
     until_due = completion_target - age
     if urgency is BatchUrgency.LATE:
-        return max(MAX_ON_TIME_TURN + 1.0, LATE_TURN_BASE + until_due)
+        return max(MAX_ON_TIME_START_ORDER + 1.0, LATE_START_ORDER_BASE + until_due)
     if urgency is BatchUrgency.RESCUED:
-        urgent_turn = completion_target * URGENT_SLACK_SHARE + remaining
-        return urgent_turn + RESCUED_TURN_SPREAD * completion_target / max(age, completion_target)
-    return min(MAX_ON_TIME_TURN, max(0.0, until_due))
+        urgent_start_order = completion_target * URGENT_SLACK_SHARE + remaining
+        return urgent_start_order + RESCUED_START_ORDER_SPREAD * completion_target / max(
+            age, completion_target
+        )
+    return min(MAX_ON_TIME_START_ORDER, max(0.0, until_due))
--- a/packages/core/src/carobspool_core/direct/_configuration.py
+++ b/packages/core/src/carobspool_core/direct/_configuration.py
@@ -68,11 +68,11 @@
     needs_key: bool = True
 
     @property
-    def may_repeat(self) -> bool:
+    def is_retryable(self) -> bool:
         """Whether a request may run more than once."""
         return self.kind in (RouteKind.SAFE, RouteKind.BATCH) or self.resumable
 
-    def service_for(self, key: str) -> str:
+    def choose_service(self, key: str) -> str:
         """Return the service for a request, chosen by weight; equal keys get the same service."""
         total = sum(weighted.weight for weighted in self.services)
         point = xxh3_64_intdigest(key.encode()) / 2**64 * total
@@ -126,7 +126,7 @@
                 return route
         return None
 
-    def has_open_jobs_at(self, host: str) -> bool:
+    def has_keyless_batch_route(self, host: str) -> bool:
         """Whether a host has a batch route that callers may use without a key."""
         return any(
             route.kind is RouteKind.BATCH and not route.needs_key
--- a/packages/core/src/carobspool_core/direct/_groups.py
+++ b/packages/core/src/carobspool_core/direct/_groups.py
@@ -38,7 +38,7 @@
     return max(1, min(entries // MIN_ENTRIES_PER_GROUP, upstreams // MIN_UPSTREAMS_PER_GROUP))
 
 
-def members_of_group(name: str, names: Iterable[str], groups: int) -> tuple[int, frozenset[str]]:
+def group_of_entry(name: str, names: Iterable[str], groups: int) -> tuple[int, frozenset[str]]:
     """Return the index of the group of an entry, and the names of all entries in the group.
 
     Args:
@@ -52,7 +52,7 @@
     return number, frozenset(members)
 
 
-def part_of_group(
+def upstreams_of_group(
     upstreams: Sequence[_Member], instances: Sequence[str], number: int, groups: int
 ) -> Sequence[_Member]:
     """Return the upstreams of one service that a group uses.
--- a/packages/core/src/carobspool_core/direct/_handover.py
+++ b/packages/core/src/carobspool_core/direct/_handover.py
@@ -19,22 +19,22 @@
 over: its last commits may take as long as one call to an unresponsive store, 1.5 s."""
 
 
-class Successor(Struct, frozen=True, kw_only=True):
+class HandoverCandidate(Struct, frozen=True, kw_only=True):
     """Another entry that might take over jobs.
 
     Attributes:
-        silent_for: Time since its last hint.
+        since_last_hint: Time since its last hint.
         leaving: Whether it is shutting down too.
         store_ok: Whether it reaches the store; a takeover is a conditional write to the store.
     """
 
-    silent_for: Millis
+    since_last_hint: Millis
     leaving: bool
     store_ok: bool
 
 
-def lets_jobs_go(
-    successors: Iterable[Successor], *, time_left: Millis, silent_after: Millis
+def should_release_jobs(
+    candidates: Iterable[HandoverCandidate], *, time_left: Millis, silent_after: Millis
 ) -> bool:
     """Return whether an entry that shuts down should release its jobs now.
 
@@ -46,5 +46,6 @@
     if time_left <= FORCED_RELEASE_TIME_LEFT:
         return True
     return any(
-        not each.leaving and each.store_ok and each.silent_for < silent_after for each in successors
+        not each.leaving and each.store_ok and each.since_last_hint < silent_after
+        for each in candidates
     )
--- a/packages/core/src/carobspool_core/direct/_job_codec.py
+++ b/packages/core/src/carobspool_core/direct/_job_codec.py
@@ -8,7 +8,7 @@
 
 from carobspool_core._ports import Json
 from carobspool_core.direct._job_work import (
-    ItemEnd,
+    ItemOutcome,
     ItemResult,
     JobInput,
     JobItem,
@@ -30,7 +30,7 @@
 bytes of an upstream's answer that are not UTF-8, and a job with such a result must stay
 readable."""
 
-_END_VALUES = tuple(each.value for each in ItemEnd)
+_END_VALUES = tuple(each.value for each in ItemOutcome)
 _Row = Annotated[list[Text], Bounds(min_length=3, max_length=3)]
 
 
@@ -126,7 +126,7 @@
         "owner": progress.owner,
         "ended": progress.ended,
         "total": progress.total,
-        "results": [[each.item_id, each.end.value, each.text] for each in progress.results],
+        "results": [[each.item_id, each.outcome.value, each.text] for each in progress.results],
         "failures": dict(progress.failures),
         "parts": {key: [each.last_event, each.text] for key, each in progress.parts.items()},
     }
@@ -167,7 +167,7 @@
     for number, (item_id, end, text) in enumerate(rows):
         if end not in _END_VALUES:
             raise _unusable_record(f"results[{number}][1]", repr(end[:80]), ", ".join(_END_VALUES))
-        results.append(ItemResult(item_id=item_id, end=ItemEnd(end), text=text))
+        results.append(ItemResult(item_id=item_id, outcome=ItemOutcome(end), text=text))
     return tuple(results)
 
 
--- a/packages/core/src/carobspool_core/direct/_job_work.py
+++ b/packages/core/src/carobspool_core/direct/_job_work.py
@@ -16,7 +16,7 @@
 from carobspool_core._clock import Millis
 
 
-class ItemEnd(StrEnum):
+class ItemOutcome(StrEnum):
     """Outcome of an item."""
 
     COMPLETED = "completed"
@@ -61,7 +61,7 @@
     """The final result of one item."""
 
     item_id: str
-    end: ItemEnd
+    outcome: ItemOutcome
     text: str
 
 
@@ -107,7 +107,7 @@
         item: The item as submitted.
         failures: Number of failed runs.
         committed_part: Events that an earlier owner committed.
-        texts: Data of the events after the committed ones, in order.
+        received_texts: Data of the events after the committed ones, in order.
         running: Whether a run is in progress.
         not_before: Earliest time at which the next run may start.
     """
@@ -115,25 +115,25 @@
     item: JobItem
     failures: int = 0
     committed_part: PartialItem | None = None
-    texts: list[str] = field(default_factory=list)
+    received_texts: list[str] = field(default_factory=list)
     running: bool = False
     not_before: Millis = 0.0
 
     @property
     def last_event(self) -> int:
         """Id of the last received event, 0 if there is none; ids begin at 1."""
-        return len(self.texts) + (
+        return len(self.received_texts) + (
             self.committed_part.last_event if self.committed_part is not None else 0
         )
 
     @property
     def text(self) -> str:
         """The data of all events, separated by line feeds."""
-        return _join_texts(self.committed_part, self.texts)
+        return _join_texts(self.committed_part, self.received_texts)
 
     def partial_item(self) -> PartialItem | None:
         """Return the events received so far, ``None`` if there are none."""
-        texts = list(self.texts)
+        texts = list(self.received_texts)
         if not texts:
             return self.committed_part
         committed = self.committed_part.last_event if self.committed_part is not None else 0
@@ -141,10 +141,10 @@
             last_event=committed + len(texts), text=_join_texts(self.committed_part, texts)
         )
 
-    def restart(self) -> None:
+    def discard_received(self) -> None:
         """Discard all received events; the next run starts from the beginning."""
         self.committed_part = None
-        self.texts = []
+        self.received_texts = []
 
 
 class JobWork:
@@ -170,7 +170,7 @@
         }
 
     @property
-    def input(self) -> JobInput:
+    def job(self) -> JobInput:
         """The job as submitted."""
         return self._input
 
@@ -195,7 +195,7 @@
         return not self._uncommitted and (self._ended or not self._open)
 
     @property
-    def all_run(self) -> bool:
+    def all_items_finished(self) -> bool:
         """Whether every item has its result, committed or not."""
         return not self._open
 
@@ -224,31 +224,31 @@
         """Return the items without a result."""
         return list(self._open.values())
 
-    def finish(self, work: ItemWork, end: ItemEnd) -> None:
+    def finish(self, work: ItemWork, outcome: ItemOutcome) -> None:
         """Record the result of an item; callers can read it after the next commit."""
         if self._open.pop(work.item.item_id, None) is None:
             return
-        text = work.text if end is ItemEnd.COMPLETED else ""
-        self._uncommitted.append(ItemResult(item_id=work.item.item_id, end=end, text=text))
+        text = work.text if outcome is ItemOutcome.COMPLETED else ""
+        self._uncommitted.append(ItemResult(item_id=work.item.item_id, outcome=outcome, text=text))
 
-    def failed(self, work: ItemWork, *, max_attempts: int) -> bool:
+    def record_failed_run(self, work: ItemWork, *, max_attempts: int) -> bool:
         """Count a failed run; return whether the item is given up."""
         work.failures += 1
         self._needs_commit = True
         if work.failures < max_attempts:
             return False
-        self.finish(work, ItemEnd.DEAD)
+        self.finish(work, ItemOutcome.DEAD)
         return True
 
-    def rejected(self, work: ItemWork) -> None:
+    def record_rejection(self, work: ItemWork) -> None:
         """Record the answer that an item can never succeed; one such answer is final."""
-        self.finish(work, ItemEnd.DEAD)
+        self.finish(work, ItemOutcome.DEAD)
 
     def end(self) -> None:
         """End the job: no further items start, and committed results stay."""
         self._ended = True
 
-    def proposal(self, owner: str) -> JobProgress:
+    def progress_to_commit(self, owner: str) -> JobProgress:
         """Return the progress to commit."""
         failures = {key: work.failures for key, work in self._open.items() if work.failures}
         results = (*self._committed, *self._uncommitted)
@@ -262,7 +262,7 @@
             parts=self._partial_items(),
         )
 
-    def adopt(self, progress: JobProgress) -> None:
+    def apply_stored_progress(self, progress: JobProgress) -> None:
         """Apply the stored progress, after a commit was acknowledged or met a conflict."""
         self._committed = list(progress.results)
         self._ended = self._ended or progress.ended
@@ -281,7 +281,7 @@
                 parts[item_id] = partial
         return parts
 
-    def not_committed(self) -> None:
+    def mark_uncommitted(self) -> None:
         """Record that the last proposed progress was not stored and must be proposed again."""
         self._needs_commit = True
 
--- a/packages/core/src/carobspool_core/direct/_queueing.py
+++ b/packages/core/src/carobspool_core/direct/_queueing.py
@@ -53,7 +53,7 @@
 
 
 def queue_limit(
-    *, slots: int, mean_duration: Millis, target_latency: Millis, returned: bool
+    *, slots: int, mean_duration: Millis, target_latency: Millis, is_retry: bool
 ) -> int:
     """Return how many online requests may wait at one upstream beyond its slots.
 
@@ -61,22 +61,22 @@
         slots: Slots of the upstream.
         mean_duration: Mean duration of requests of the service.
         target_latency: Target latency of the route.
-        returned: Whether the request was refused before.
+        is_retry: Whether the request was refused before.
     """
-    share = RETRY_WAIT_SHARE if returned else FIRST_TRY_WAIT_SHARE
+    share = RETRY_WAIT_SHARE if is_retry else FIRST_TRY_WAIT_SHARE
     time_per_free_slot = mean_duration / slots
     if time_per_free_slot <= 0:
         return MAX_QUEUE
     places = int(target_latency * share / time_per_free_slot)
-    return max(1 if returned else 0, min(MAX_QUEUE, places))
+    return max(1 if is_retry else 0, min(MAX_QUEUE, places))
 
 
-def has_returned(*, deadline: Millis, timeout: Millis) -> bool:
+def is_retry_by_deadline(*, deadline: Millis, timeout: Millis) -> bool:
     """Return whether the deadline of a request shows that its caller was refused before."""
     return deadline < timeout * RETRY_DEADLINE_SHARE
 
 
-def can_end(*, time_left: Millis, mean_duration: Millis) -> bool:
+def can_finish_in_time(*, time_left: Millis, mean_duration: Millis) -> bool:
     """Return whether a request can possibly end within the remaining time of its caller.
 
     A request that cannot is refused at once, since it would occupy a slot until it is cut off.
@@ -84,8 +84,8 @@
     return time_left >= mean_duration * MIN_TO_MEAN_DURATION
 
 
-def given_up_at(
-    *, started: Millis, heard: Millis, silence: Millis, mean_duration: Millis
+def failover_at(
+    *, started: Millis, last_activity_at: Millis, silence: Millis, mean_duration: Millis
 ) -> Millis:
     """Return when a resumable stream without any event yet is moved to another upstream.
 
@@ -96,15 +96,15 @@
 
     Args:
         started: Time at which the stream was sent.
-        heard: Time at which the upstream last sent anything.
+        last_activity_at: Time at which the upstream last sent anything.
         silence: Longest time for which a working upstream sends nothing.
         mean_duration: Mean duration of streams of the service.
     """
     latest = started + max(silence, mean_duration)
-    return min(latest, max(started, heard) + silence)
+    return min(latest, max(started, last_activity_at) + silence)
 
 
-def return_after_outage(draw: float, time_left: Millis) -> Millis:
+def retry_delay_in_outage(draw: float, time_left: Millis) -> Millis:
     """Return the retry delay for a caller whose call needs a store that does not answer.
 
     Load pattern: the store is unavailable for some seconds, and callers retry only a few times.
@@ -120,7 +120,7 @@
     return latest * (1.0 - OUTAGE_JITTER_SHARE * draw)
 
 
-def return_after(draw: float, time_left: Millis) -> Millis:
+def retry_delay(draw: float, time_left: Millis) -> Millis:
     """Return the retry delay for a refused caller.
 
     Args:
--- a/packages/core/src/carobspool_core/direct/_watch_duty.py
+++ b/packages/core/src/carobspool_core/direct/_watch_duty.py
@@ -15,13 +15,13 @@
 
 from carobspool_core._rendezvous import first
 
-WATCHERS = 5
+WATCHER_COUNT = 5
 """Number of entries that watch the store. Several of them may crash, be partitioned or be refused
 by the store at a time; other entries replace them once that is known."""
 _RENDEZVOUS_KEY = "watch"
 
 
-class DutyCandidate(Struct, frozen=True, kw_only=True):
+class WatchCandidate(Struct, frozen=True, kw_only=True):
     """An entry that may watch the store.
 
     Attributes:
@@ -33,7 +33,7 @@
     store_ok: bool
 
 
-def has_watch_duty(own: DutyCandidate, others: Iterable[DutyCandidate]) -> bool:
+def should_watch_store(own: WatchCandidate, others: Iterable[WatchCandidate]) -> bool:
     """Return whether an entry watches the store.
 
     Args:
@@ -45,4 +45,4 @@
     eligible = [each.name for each in candidates if each.store_ok] or [
         each.name for each in candidates
     ]
-    return own.name in first(_RENDEZVOUS_KEY, eligible, WATCHERS)
+    return own.name in first(_RENDEZVOUS_KEY, eligible, WATCHER_COUNT)
--- a/packages/core/tests/test_direct_batch_order.py
+++ b/packages/core/tests/test_direct_batch_order.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from carobspool_core.direct import BatchUrgency, ItemPace, turn_of, urgency_of
+from carobspool_core.direct import BatchUrgency, ItemDurationEstimate, start_order_of, urgency_of
 
 
 @pytest.mark.parametrize(
@@ -32,43 +32,43 @@
 
 
 def test_remaining_time_follows_recorded_runs() -> None:
-    pace = ItemPace()
+    pace = ItemDurationEstimate()
     for _ in range(60):
-        pace.ran(events=100, duration=5_000.0)
-        pace.ended(events=100)
-    assert pace.remaining(0) == pytest.approx(5_000.0, rel=0.02)
-    assert pace.remaining(50) == pytest.approx(2_500.0, rel=0.05)
-    assert pace.remaining(250) > 0
+        pace.record_run(events=100, duration=5_000.0)
+        pace.record_item(events=100)
+    assert pace.estimate_remaining(0) == pytest.approx(5_000.0, rel=0.02)
+    assert pace.estimate_remaining(50) == pytest.approx(2_500.0, rel=0.05)
+    assert pace.estimate_remaining(250) > 0
 
 
 RUN_TIME = 4_700.0
 COMPLETION_TARGET = 18_000.0
 
 
-def _turn(age: float) -> float:
+def _start_order(age: float) -> float:
     urgency = urgency_of(
         age=age, completion_target=COMPLETION_TARGET, retention=60_000.0, remaining=RUN_TIME
     )
-    return turn_of(urgency, age=age, completion_target=COMPLETION_TARGET, remaining=RUN_TIME)
+    return start_order_of(urgency, age=age, completion_target=COMPLETION_TARGET, remaining=RUN_TIME)
 
 
 def test_rescued_items_start_before_items_with_slack_and_after_urgent_ones() -> None:
     """Old items that started before all others took the slots of items that could still be on time.
     Under lasting overload no item was on time any more."""
-    urgent, delayed, new = _turn(12_900.0), _turn(4_000.0), _turn(0.0)
-    rescued, older = _turn(37_000.0), _turn(50_000.0)
-    late, later = _turn(30_000.0), _turn(14_000.0)
+    urgent, delayed, new = _start_order(12_900.0), _start_order(4_000.0), _start_order(0.0)
+    rescued, older = _start_order(37_000.0), _start_order(50_000.0)
+    late, later = _start_order(30_000.0), _start_order(14_000.0)
     assert urgent < older < rescued < delayed < new < late < later
 
 
-def test_turns_fit_into_four_bytes_for_very_late_items() -> None:
-    """Hints encode turns in four bytes, and an item may wait for days while no engine runs."""
+def test_start_orders_fit_into_four_bytes_for_very_late_items() -> None:
+    """Hints encode start orders in four bytes, and an item may wait for days if no engine runs."""
     day = 86_400_000.0
     for age in (0.0, COMPLETION_TARGET, 3 * day, 60 * day):
-        turn = turn_of(
+        start_order = start_order_of(
             BatchUrgency.LATE, age=age, completion_target=COMPLETION_TARGET, remaining=RUN_TIME
         )
-        assert turn_of(
+        assert start_order_of(
             BatchUrgency.ORDINARY, age=0.0, completion_target=40 * day, remaining=RUN_TIME
-        ) < (turn)
-        assert turn < 2**32
+        ) < (start_order)
+        assert start_order < 2**32
--- a/packages/core/tests/test_direct_decisions.py
+++ b/packages/core/tests/test_direct_decisions.py
@@ -61,16 +61,16 @@
         WeightedService(service="new", weight=10),
     )
     route = _route("/a/", services=services)
-    chosen = [route.service_for(f"request-{number}") for number in range(2_000)]
-    assert chosen == [route.service_for(f"request-{number}") for number in range(2_000)]
+    chosen = [route.choose_service(f"request-{number}") for number in range(2_000)]
+    assert chosen == [route.choose_service(f"request-{number}") for number in range(2_000)]
     assert 0.07 < chosen.count("new") / len(chosen) < 0.13
 
 
 def test_only_idempotent_or_resumable_routes_may_repeat() -> None:
-    assert _route("/a/").may_repeat
-    assert not _route("/a/", kind=RouteKind.UNSAFE).may_repeat
-    assert not _route("/a/", kind=RouteKind.STREAM).may_repeat
-    assert _route("/a/", kind=RouteKind.STREAM, resumable=True).may_repeat
+    assert _route("/a/").is_retryable
+    assert not _route("/a/", kind=RouteKind.UNSAFE).is_retryable
+    assert not _route("/a/", kind=RouteKind.STREAM).is_retryable
+    assert _route("/a/", kind=RouteKind.STREAM, resumable=True).is_retryable
 
 
 @pytest.mark.parametrize(
--- a/packages/core/tests/test_direct_handover.py
+++ b/packages/core/tests/test_direct_handover.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from carobspool_core.direct import Successor, lets_jobs_go
+from carobspool_core.direct import HandoverCandidate, should_release_jobs
 
 STEP = 50.0
 SILENT_AFTER = 900.0
@@ -20,24 +20,24 @@
 
 
 def test_jobs_are_released_at_once_if_another_entry_stays_up() -> None:
-    staying = Successor(silent_for=100.0, leaving=False, store_ok=True)
-    assert lets_jobs_go([staying], time_left=6_800.0, silent_after=SILENT_AFTER)
+    staying = HandoverCandidate(since_last_hint=100.0, leaving=False, store_ok=True)
+    assert should_release_jobs([staying], time_left=6_800.0, silent_after=SILENT_AFTER)
 
 
 @pytest.mark.parametrize(
     "unfit",
     [
-        Successor(silent_for=100.0, leaving=True, store_ok=True),
-        Successor(silent_for=1_000.0, leaving=False, store_ok=True),
-        Successor(silent_for=100.0, leaving=False, store_ok=False),
+        HandoverCandidate(since_last_hint=100.0, leaving=True, store_ok=True),
+        HandoverCandidate(since_last_hint=1_000.0, leaving=False, store_ok=True),
+        HandoverCandidate(since_last_hint=100.0, leaving=False, store_ok=False),
     ],
 )
 def test_jobs_are_kept_until_shortly_before_the_exit_if_no_entry_can_take_them_over(
-    unfit: Successor,
+    unfit: HandoverCandidate,
 ) -> None:
-    assert not lets_jobs_go([unfit], time_left=6_800.0, silent_after=SILENT_AFTER)
-    assert not lets_jobs_go([], time_left=1_700.0, silent_after=SILENT_AFTER)
-    assert lets_jobs_go([unfit], time_left=1_600.0, silent_after=SILENT_AFTER)
+    assert not should_release_jobs([unfit], time_left=6_800.0, silent_after=SILENT_AFTER)
+    assert not should_release_jobs([], time_left=1_700.0, silent_after=SILENT_AFTER)
+    assert should_release_jobs([unfit], time_left=1_600.0, silent_after=SILENT_AFTER)
 
 
 @dataclass(slots=True)
@@ -70,7 +70,7 @@
             if each.exited_at is not None or now < each.stopped_at:
                 continue
             others = [
-                Successor(silent_for=0.0, leaving=False, store_ok=True)
+                HandoverCandidate(since_last_hint=0.0, leaving=False, store_ok=True)
                 for other in up
                 if other is not each
                 and (
@@ -79,7 +79,7 @@
                 )
             ]
             time_left = each.stopped_at + EXIT_AFTER - now
-            if each.has_jobs and lets_jobs_go(
+            if each.has_jobs and should_release_jobs(
                 others, time_left=time_left, silent_after=SILENT_AFTER
             ):
                 each.has_jobs = False
--- a/packages/core/tests/test_direct_job_work.py
+++ b/packages/core/tests/test_direct_job_work.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from carobspool_core.direct import (
-    ItemEnd,
+    ItemOutcome,
     JobInput,
     JobItem,
     JobProgress,
@@ -35,20 +35,20 @@
     assert job_from_json("j", job_to_json(job)) == job
     work = _work()
     item = work.open_items()[0]
-    item.texts.append("text")
-    work.finish(item, ItemEnd.COMPLETED)
-    work.failed(work.open_items()[0], max_attempts=3)
-    progress = work.proposal("a#1")
+    item.received_texts.append("text")
+    work.finish(item, ItemOutcome.COMPLETED)
+    work.record_failed_run(work.open_items()[0], max_attempts=3)
+    progress = work.progress_to_commit("a#1")
     assert progress_from_json(progress_to_json(progress)) == progress
     assert progress.failures == {"i1": 1}
 
 
 def test_a_result_is_readable_only_once_committed() -> None:
     work = _work()
-    work.finish(work.open_items()[0], ItemEnd.COMPLETED)
+    work.finish(work.open_items()[0], ItemOutcome.COMPLETED)
     assert not work.committed
-    progress = work.proposal("a#1")
-    work.adopt(progress)
+    progress = work.progress_to_commit("a#1")
+    work.apply_stored_progress(progress)
     assert [each.item_id for each in work.committed] == ["i0"]
     assert not work.has_uncommitted
 
@@ -58,12 +58,12 @@
     position 0 and the second at position 1, each of them once."""
     work = _work()
     first, second, _ = work.open_items()
-    work.finish(first, ItemEnd.COMPLETED)
-    progress = work.proposal("a#1")
-    work.finish(second, ItemEnd.COMPLETED)
-    work.adopt(progress)
+    work.finish(first, ItemOutcome.COMPLETED)
+    progress = work.progress_to_commit("a#1")
+    work.finish(second, ItemOutcome.COMPLETED)
+    work.apply_stored_progress(progress)
     assert work.has_uncommitted
-    work.adopt(work.proposal("a#1"))
+    work.apply_stored_progress(work.progress_to_commit("a#1"))
     assert [each.item_id for each in work.committed] == ["i0", "i1"]
 
 
@@ -72,11 +72,15 @@
     third failure."""
     work = _work(1)
     item = work.open_items()[0]
-    assert not work.failed(item, max_attempts=3)
-    assert not work.failed(item, max_attempts=3)
-    next_owner = JobWork(_job(1), progress_from_json(progress_to_json(work.proposal("b#1"))))
-    assert next_owner.failed(next_owner.open_items()[0], max_attempts=3)
-    assert [each.end for each in next_owner.proposal("b#1").results] == [ItemEnd.DEAD]
+    assert not work.record_failed_run(item, max_attempts=3)
+    assert not work.record_failed_run(item, max_attempts=3)
+    next_owner = JobWork(
+        _job(1), progress_from_json(progress_to_json(work.progress_to_commit("b#1")))
+    )
+    assert next_owner.record_failed_run(next_owner.open_items()[0], max_attempts=3)
+    assert [each.outcome for each in next_owner.progress_to_commit("b#1").results] == [
+        ItemOutcome.DEAD
+    ]
 
 
 def test_next_owner_resumes_after_the_committed_events() -> None:
@@ -86,41 +90,41 @@
     for number, owner in enumerate(("b#1", "c#1")):
         item = work.open_items()[0]
         assert item.last_event == number * 2
-        item.texts.extend([f"t{number}0", f"t{number}1"])
-        stored = progress_from_json(progress_to_json(work.proposal(owner)))
-        item.texts.append("not committed")
+        item.received_texts.extend([f"t{number}0", f"t{number}1"])
+        stored = progress_from_json(progress_to_json(work.progress_to_commit(owner)))
+        item.received_texts.append("not committed")
         work = JobWork(_job(1), stored)
     item = work.open_items()[0]
-    item.texts.append("end")
-    work.finish(item, ItemEnd.COMPLETED)
-    (result,) = work.proposal("c#1").results
+    item.received_texts.append("end")
+    work.finish(item, ItemOutcome.COMPLETED)
+    (result,) = work.progress_to_commit("c#1").results
     assert result.text == "t00\nt01\nt10\nt11\nend"
 
 
 def test_restart_discards_events_also_after_a_takeover() -> None:
     work = _work(1)
-    work.open_items()[0].texts.append("t")
-    work = JobWork(_job(1), work.proposal("b#1"))
+    work.open_items()[0].received_texts.append("t")
+    work = JobWork(_job(1), work.progress_to_commit("b#1"))
     item = work.open_items()[0]
-    item.restart()
+    item.discard_received()
     assert (item.last_event, item.text) == (0, "")
-    assert not work.proposal("b#1").parts
+    assert not work.progress_to_commit("b#1").parts
 
 
 def test_ended_job_commits_no_partial_items() -> None:
     work = _work(1)
-    work.open_items()[0].texts.append("t")
+    work.open_items()[0].received_texts.append("t")
     work.end()
-    assert not work.proposal("a#1").parts
+    assert not work.progress_to_commit("a#1").parts
 
 
 def test_rejected_item_is_dead_at_once_and_has_no_text() -> None:
     work = _work(1)
     item = work.open_items()[0]
-    item.texts.append("half")
-    work.rejected(item)
-    (result,) = work.proposal("a#1").results
-    assert (result.end, result.text) == (ItemEnd.DEAD, "")
+    item.received_texts.append("half")
+    work.record_rejection(item)
+    (result,) = work.progress_to_commit("a#1").results
+    assert (result.outcome, result.text) == (ItemOutcome.DEAD, "")
 
 
 def test_ended_job_has_no_waiting_items() -> None:
@@ -133,7 +137,7 @@
 
 def test_interrupted_items_resume_before_new_ones_start() -> None:
     work = _work()
-    work.open_items()[2].texts.extend(["t"] * 5)
+    work.open_items()[2].received_texts.extend(["t"] * 5)
     assert [each.item.item_id for each in work.waiting_items(0.0)] == ["i2", "i0", "i1"]
 
 
@@ -147,12 +151,12 @@
     for step in steps:
         open_items = work.open_items()
         if step == "finish" and open_items:
-            work.finish(open_items[0], ItemEnd.COMPLETED)
+            work.finish(open_items[0], ItemOutcome.COMPLETED)
         elif step == "propose":
-            proposed = work.proposal("a#1")
+            proposed = work.progress_to_commit("a#1")
             stored = proposed
         elif step == "adopt" and proposed is not None:
-            work.adopt(stored)
+            work.apply_stored_progress(stored)
         elif step == "lose":
             work = JobWork(_job(6), stored)
             proposed = None
--- a/packages/core/tests/test_direct_queueing.py
+++ b/packages/core/tests/test_direct_queueing.py
@@ -10,13 +10,13 @@
 import pytest
 
 from carobspool_core.direct import (
-    can_end,
-    given_up_at,
-    has_returned,
+    can_finish_in_time,
+    failover_at,
     has_time_to_serve,
+    is_retry_by_deadline,
     queue_limit,
-    return_after,
-    return_after_outage,
+    retry_delay,
+    retry_delay_in_outage,
 )
 
 
@@ -51,7 +51,7 @@
                 refused += 1
                 continue
             caller.retries += 1
-            retry_at = now + return_after(draw.random(), 5_000.0)
+            retry_at = now + retry_delay(draw.random(), 5_000.0)
             heapq.heappush(heap, (retry_at, number, caller))
             continue
         slot_index = engine.index(min(engine))
@@ -67,8 +67,8 @@
     """The load exceeds the capacity of two engines by half. With a queue of six nearly all requests
     are late. With the queue that the target latency allows, most of the served requests are on
     time, and hardly fewer requests are served."""
-    new = queue_limit(slots=8, mean_duration=900.0, target_latency=300.0, returned=False)
-    retried = queue_limit(slots=8, mean_duration=900.0, target_latency=300.0, returned=True)
+    new = queue_limit(slots=8, mean_duration=900.0, target_latency=300.0, is_retry=False)
+    retried = queue_limit(slots=8, mean_duration=900.0, target_latency=300.0, is_retry=True)
     short_on_time, short_late, _ = _simulate_overload(new, retried)
     long_on_time, long_late, _ = _simulate_overload(6, 6)
     assert short_on_time > 2 * long_on_time
@@ -78,25 +78,25 @@
 def test_queue_limit_depends_on_the_mean_duration() -> None:
     """If a slot takes longer to become free than the target allows, a queued request is late and
     delays the next ones. No new request may then wait, and one retried request may."""
-    plain = queue_limit(slots=6, mean_duration=25.0, target_latency=125.0, returned=False)
-    engine = queue_limit(slots=8, mean_duration=900.0, target_latency=300.0, returned=False)
+    plain = queue_limit(slots=6, mean_duration=25.0, target_latency=125.0, is_retry=False)
+    engine = queue_limit(slots=8, mean_duration=900.0, target_latency=300.0, is_retry=False)
     assert plain > 10 > engine >= 1
-    assert queue_limit(slots=8, mean_duration=1_100.0, target_latency=300.0, returned=False) == 1
-    assert queue_limit(slots=8, mean_duration=2_200.0, target_latency=300.0, returned=False) == 0
-    assert queue_limit(slots=1, mean_duration=1e6, target_latency=1.0, returned=False) == 0
-    assert queue_limit(slots=1, mean_duration=1e6, target_latency=1.0, returned=True) == 1
+    assert queue_limit(slots=8, mean_duration=1_100.0, target_latency=300.0, is_retry=False) == 1
+    assert queue_limit(slots=8, mean_duration=2_200.0, target_latency=300.0, is_retry=False) == 0
+    assert queue_limit(slots=1, mean_duration=1e6, target_latency=1.0, is_retry=False) == 0
+    assert queue_limit(slots=1, mean_duration=1e6, target_latency=1.0, is_retry=True) == 1
 
 
 def test_retry_is_recognised_by_its_deadline() -> None:
-    assert not has_returned(deadline=5_000.0, timeout=5_000.0)
-    assert has_returned(deadline=4_500.0, timeout=5_000.0)
+    assert not is_retry_by_deadline(deadline=5_000.0, timeout=5_000.0)
+    assert is_retry_by_deadline(deadline=4_500.0, timeout=5_000.0)
 
 
 def test_retry_delays_are_spread_and_accepted_by_callers() -> None:
-    times = [return_after(step / 10.0, 5_000.0) for step in range(11)]
+    times = [retry_delay(step / 10.0, 5_000.0) for step in range(11)]
     assert times == sorted(times)
     assert (times[0], times[-1]) == (300.0, 1_500.0)
-    assert return_after(1.0, 1_500.0) == 500.0
+    assert retry_delay(1.0, 1_500.0) == 500.0
 
 
 @pytest.mark.parametrize(
@@ -133,7 +133,9 @@
     nothing is given up after 0.9 s. A slow and full engine still sends events of other streams.
     Given up after the same time, streams left its queue for the end of another queue and ran
     twice."""
-    given_up = given_up_at(started=1_000.0, heard=heard, silence=900.0, mean_duration=mean)
+    given_up = failover_at(
+        started=1_000.0, last_activity_at=heard, silence=900.0, mean_duration=mean
+    )
     assert given_up == expected
 
 
@@ -144,12 +146,12 @@
     for _ in range(100):
         now = 0.0
         for _ in range(4):
-            now += return_after_outage(draw.random(), 4_150.0 - now)
+            now += retry_delay_in_outage(draw.random(), 4_150.0 - now)
         assert 3_000.0 < now < 4_000.0
 
 
 def test_request_that_cannot_end_in_time_is_detected() -> None:
     """A caller retries with 1.0 s of its time left, at engines whose streams take 2.2 s. The
     request would occupy a slot for that second and be cut off."""
-    assert not can_end(time_left=1_000.0, mean_duration=2_200.0)
-    assert can_end(time_left=1_500.0, mean_duration=2_200.0)
+    assert not can_finish_in_time(time_left=1_000.0, mean_duration=2_200.0)
+    assert can_finish_in_time(time_left=1_500.0, mean_duration=2_200.0)
--- a/packages/node/src/carobspool_node/direct/_announcement.py
+++ b/packages/node/src/carobspool_node/direct/_announcement.py
@@ -90,7 +90,7 @@
         "r": sorted(hint.released),
         "s": hint.store_ok,
         "o": int(hint.answer_age),
-        "p": [[int(group.turn), group.items] for group in hint.backlog],
+        "p": [[int(group.start_order), group.items] for group in hint.backlog],
     }
 
 
--- a/packages/node/src/carobspool_node/direct/_attempt.py
+++ b/packages/node/src/carobspool_node/direct/_attempt.py
@@ -28,7 +28,7 @@
         may_have_run: Whether the request was sent to an upstream that did not reject it.
         last_event: Id of the last event that was forwarded to the caller.
         streaming: Whether the head of a streamed answer was sent to the caller.
-        returned: Whether the caller has retried the request after a refusal.
+        is_retry: Whether the caller has retried the request after a refusal.
         last_failure: Why the last call failed.
     """
 
@@ -44,5 +44,5 @@
     may_have_run: bool = False
     last_event: int | None = None
     streaming: bool = False
-    returned: bool = False
+    is_retry: bool = False
     last_failure: str = ""
--- a/packages/node/src/carobspool_node/direct/_callers.py
+++ b/packages/node/src/carobspool_node/direct/_callers.py
@@ -16,7 +16,7 @@
     Route,
     RouteKind,
     has_time_for_job_call,
-    return_after_outage,
+    retry_delay_in_outage,
 )
 from carobspool_core.organisations import Admission, qualified_job_id
 from carobspool_node.direct._caller_connection import CallerConnection
@@ -217,7 +217,7 @@
         self, request: CallerRequest, configuration: Configuration
     ) -> Access:
         values = request.header_values(AUTHORIZATION)
-        is_exempt = not values and configuration.has_open_jobs_at(request.host)
+        is_exempt = not values and configuration.has_keyless_batch_route(request.host)
         return self._identify(request, is_exempt=is_exempt)
 
     def _act_on_job(
@@ -236,7 +236,7 @@
     def _retry_after(self, request: CallerRequest, limit: Millis) -> Millis:
         deadline = request.time_limit(self._names.deadline, limit)
         time_left = request.arrived + deadline - self._clock.now()
-        return return_after_outage(random.random(), time_left)
+        return retry_delay_in_outage(random.random(), time_left)
 
     def _record_job_call(self, request: CallerRequest, call: str, outcome: Outcome) -> None:
         self._telemetry.count("job_calls", call=call, outcome=outcome.value)
--- a/packages/node/src/carobspool_node/direct/_exit.py
+++ b/packages/node/src/carobspool_node/direct/_exit.py
@@ -12,7 +12,7 @@
 from absl import logging
 
 from carobspool_core import Clock, Millis
-from carobspool_core.direct import SILENT_AFTER, Successor, lets_jobs_go
+from carobspool_core.direct import SILENT_AFTER, HandoverCandidate, should_release_jobs
 from carobspool_node.direct._job_runner import JobRunner
 from carobspool_node.direct._listener import Listener
 from carobspool_node.direct._messages import CallerRequest
@@ -103,11 +103,13 @@
         if not self._runner.job_ids(finished=False):
             return False
         now = self._clock.now()
-        successors = [
-            Successor(silent_for=now - peer.heard, leaving=peer.leaving, store_ok=peer.store_ok)
+        candidates = [
+            HandoverCandidate(
+                since_last_hint=now - peer.heard, leaving=peer.leaving, store_ok=peer.store_ok
+            )
             for peer in self._peers.live()
         ]
-        if not lets_jobs_go(successors, time_left=time_left, silent_after=SILENT_AFTER):
+        if not should_release_jobs(candidates, time_left=time_left, silent_after=SILENT_AFTER):
             return True
         self._runner.let_go(min(HANDOVER_COMMIT_TIMEOUT, time_left))
         self._peers.announce()
--- a/packages/node/src/carobspool_node/direct/_forward.py
+++ b/packages/node/src/carobspool_node/direct/_forward.py
@@ -19,10 +19,10 @@
     Route,
     RouteKind,
     Upstream,
-    can_end,
-    given_up_at,
-    has_returned,
+    can_finish_in_time,
+    failover_at,
     has_time_to_serve,
+    is_retry_by_deadline,
 )
 from carobspool_node.direct._attempt import RequestState
 from carobspool_node.direct._caller_connection import CallerConnection
@@ -132,7 +132,7 @@
             caller=caller,
             deadline=request.arrived + limit,
             organisation=organisation,
-            returned=has_returned(deadline=limit, timeout=route.timeout),
+            is_retry=is_retry_by_deadline(deadline=limit, timeout=route.timeout),
         )
         try:
             self._try_upstreams(state)
@@ -148,7 +148,7 @@
         time_left = self._time_left()
         if time_left is None:
             return True
-        service = state.route.service_for(state.request.request_id)
+        service = state.route.choose_service(state.request.request_id)
         mean = self._loads.mean_duration(service)
         if has_time_to_serve(time_left, mean):
             return True
@@ -166,7 +166,7 @@
         """Return whether the request can probably end before the caller's deadline."""
         left = state.deadline - self._clock.now()
         mean = self._loads.mean_duration(service)
-        if can_end(time_left=left, mean_duration=mean):
+        if can_finish_in_time(time_left=left, mean_duration=mean):
             return True
         state.last_failure = "it cannot end in the time that is left"
         logging.info(
@@ -179,7 +179,7 @@
         return False
 
     def _try_upstreams(self, state: RequestState) -> None:
-        service = state.route.service_for(state.request.request_id)
+        service = state.route.choose_service(state.request.request_id)
         while True:
             reach = self._reach(service)
             if state.deadline - self._clock.now() < MIN_CALL_TIME:
@@ -193,7 +193,7 @@
             placement = self._loads.place_online(
                 reach.near,
                 target_latency=state.route.target_latency,
-                returned=state.returned or state.streaming,
+                is_retry=state.is_retry or state.streaming,
                 excluded=frozenset(state.tried),
                 far=reach.far,
             )
@@ -203,7 +203,7 @@
                     state.request.request_id,
                     service,
                     len(reach.near) + len(reach.far),
-                    state.returned,
+                    state.is_retry,
                     self._loads.describe(reach.near),
                 )
                 self._endings.give_up(state, has_upstreams=bool(reach.near))
@@ -224,7 +224,7 @@
     def _may_retry(self, state: RequestState) -> bool:
         if state.turned_away >= MAX_REJECTIONS:
             return False
-        return state.route.may_repeat or not state.may_have_run
+        return state.route.is_retryable or not state.may_have_run
 
     def _call_upstream(self, state: RequestState, upstream: Upstream) -> bool:
         """Call one upstream; return whether the caller has received its answer."""
@@ -299,9 +299,9 @@
         mean = self._loads.mean_duration(upstream.service)
 
         def idle_deadline() -> Millis:
-            return given_up_at(
+            return failover_at(
                 started=started,
-                heard=self._loads.heard_at(upstream),
+                last_activity_at=self._loads.heard_at(upstream),
                 silence=STREAM_IDLE_TIMEOUT,
                 mean_duration=mean,
             )
--- a/packages/node/src/carobspool_node/direct/_hint_receiver.py
+++ b/packages/node/src/carobspool_node/direct/_hint_receiver.py
@@ -168,7 +168,9 @@
         if lost is not None:
             self._events.lost(lost)
         self._events.ended(announcement.ended)
-        groups = [WaitingGroup(float(turn), count) for turn, count in announcement.backlog]
+        groups = [
+            WaitingGroup(float(start_order), count) for start_order, count in announcement.backlog
+        ]
         self._events.backlog(announcement.name, groups)
         self._apply_announced_loads(announcement, packed, counts)
         self._events.versions(announcement.name, announcement.versions)
--- a/packages/node/src/carobspool_node/direct/_item_order.py
+++ b/packages/node/src/carobspool_node/direct/_item_order.py
@@ -10,11 +10,11 @@
 from carobspool_core.direct import (
     BatchUrgency,
     Configuration,
-    ItemPace,
+    ItemDurationEstimate,
     ItemWork,
     Route,
     RouteKind,
-    turn_of,
+    start_order_of,
     urgency_of,
 )
 from carobspool_node.direct._owned_job import OwnedJob
@@ -30,9 +30,9 @@
         urgency: Urgency class of the item.
         due: When the job is due, in wall-clock milliseconds. It is counted from the submission, not
             from when this entry became the owner: a job that was taken over has lost time already.
-        turn: Position among the waiting items of all entries at the time ``wall``; the lowest
-            starts first.
-        wall: Wall-clock milliseconds at which ``turn`` was computed.
+        start_order: Position among the waiting items of all entries at the time ``wall``; the
+            lowest starts first.
+        wall: Wall-clock milliseconds at which ``start_order`` was computed.
     """
 
     job: OwnedJob
@@ -40,16 +40,20 @@
     route: Route | None
     urgency: BatchUrgency
     due: float
-    turn: Millis
+    start_order: Millis
     wall: float
 
-    def turn_at(self, wall: float) -> Millis:
-        """Return the item's turn at a later time, in wall-clock milliseconds."""
-        return max(0.0, self.turn - (wall - self.wall))
+    def start_order_at(self, wall: float) -> Millis:
+        """Return the item's start order at a later time, in wall-clock milliseconds."""
+        return max(0.0, self.start_order - (wall - self.wall))
 
 
 def order_waiting_items(
-    jobs: Iterable[OwnedJob], configuration: Configuration, pace: ItemPace, *, now: Millis
+    jobs: Iterable[OwnedJob],
+    configuration: Configuration,
+    pace: ItemDurationEstimate,
+    *,
+    now: Millis,
 ) -> list[WaitingItem]:
     """Return the items that can be started, those that can no longer be on time last.
 
@@ -75,11 +79,13 @@
             if route is not None and route.kind is not RouteKind.BATCH:
                 route = None
             age = wall - job.input.submitted
-            remaining = pace.remaining(work.last_event)
+            remaining = pace.estimate_remaining(work.last_event)
             urgency = urgency_of(
                 age=age, completion_target=target, retention=retention, remaining=remaining
             )
-            turn = turn_of(urgency, age=age, completion_target=target, remaining=remaining)
+            start_order = start_order_of(
+                urgency, age=age, completion_target=target, remaining=remaining
+            )
             found.append(
                 WaitingItem(
                     job=job,
@@ -87,9 +93,9 @@
                     route=route,
                     urgency=urgency,
                     due=due,
-                    turn=turn,
+                    start_order=start_order,
                     wall=wall,
                 )
             )
-    found.sort(key=lambda each: each.turn)
+    found.sort(key=lambda each: each.start_order)
     return found
--- a/packages/node/src/carobspool_node/direct/_item_run.py
+++ b/packages/node/src/carobspool_node/direct/_item_run.py
@@ -121,7 +121,7 @@
                     continue
                 if event.event_id != work.last_event + 1:
                     raise CallFailedError("an event id is missing from the sequence", sent=True)
-                work.texts.append(event.data)
+                work.received_texts.append(event.data)
         if splitter.incomplete:
             raise CallFailedError("the stream ends in the middle of an event", sent=True)
         return RunOutcome(end=RunEnd.COMPLETED)
--- a/packages/node/src/carobspool_node/direct/_job_runner.py
+++ b/packages/node/src/carobspool_node/direct/_job_runner.py
@@ -11,15 +11,15 @@
 
 from carobspool_core import Clock, Millis, wall_millis
 from carobspool_core.direct import (
-    Backlog,
     Configuration,
-    ItemEnd,
-    ItemPace,
+    ItemDurationEstimate,
+    ItemOutcome,
     ItemWork,
+    PeerBacklog,
     Route,
     Upstream,
     WaitingGroup,
-    group_waiting,
+    group_by_start_order,
 )
 from carobspool_core.organisations import waiting_key
 from carobspool_node.direct._in_flight import BatchRun
@@ -90,8 +90,8 @@
         self._committing: set[str] = set()
         self._verifying: set[str] = set()
         self._released: frozenset[str] = frozenset()
-        self._pace = ItemPace()
-        self._backlog = Backlog()
+        self._pace = ItemDurationEstimate()
+        self._backlog = PeerBacklog()
         self._backlog_lock = threading.Lock()
         self._waiting: Sequence[WaitingItem] = ()
 
@@ -167,12 +167,12 @@
     def backlog(self) -> Sequence[WaitingGroup]:
         """Return the waiting items of this entry, grouped for the hints to its peers."""
         wall = wall_millis()
-        return group_waiting(each.turn_at(wall) for each in self._waiting)
+        return group_by_start_order(each.start_order_at(wall) for each in self._waiting)
 
     def take_backlog(self, peer: str, groups: Sequence[WaitingGroup]) -> None:
         """Record the waiting items that a peer reports."""
         with self._backlog_lock:
-            self._backlog.take(peer, groups, self._clock.now())
+            self._backlog.update_peer(peer, groups, self._clock.now())
 
     def waiting_tokens(self) -> dict[str, int]:
         """Return the tokens of unfinished items by route and organisation (`waiting_key`)."""
@@ -262,7 +262,7 @@
             return True
         if not self._may_start_items(job):
             return True
-        upstreams = self._usable(route.service_for(work.item.item_id))
+        upstreams = self._usable(route.choose_service(work.item.item_id))
         if not self._is_ahead_of_peers(waiting, upstreams):
             return False
         placed = self._loads.place_batch(upstreams, urgency=waiting.urgency, due=waiting.due)
@@ -277,17 +277,19 @@
 
     def _is_ahead_of_peers(self, waiting: WaitingItem, upstreams: Sequence[Upstream]) -> bool:
         """Whether there is capacity for an item beyond what more urgent items of peers need."""
-        turn = waiting.turn_at(wall_millis())
-        room = self._loads.room_for_batch(upstreams, urgency=waiting.urgency)
+        start_order = waiting.start_order_at(wall_millis())
+        free_slots = self._loads.room_for_batch(upstreams, urgency=waiting.urgency)
         with self._backlog_lock:
-            return self._backlog.may_start(turn, room=room, now=self._clock.now())
+            return self._backlog.may_start(
+                start_order, free_slots=free_slots, now=self._clock.now()
+            )
 
     def _is_past_retention(self, job: OwnedJob, route: Route) -> bool:
         return bool(route.retention) and wall_millis() - job.input.submitted >= route.retention
 
     def _dead_letter(self, job: OwnedJob, work: ItemWork, reason: str) -> None:
         with job.lock:
-            job.work.finish(work, ItemEnd.DEAD)
+            job.work.finish(work, ItemOutcome.DEAD)
         self._count_item(job, work, "dead", reason, None, None)
 
     def _may_start_items(self, job: OwnedJob) -> bool:
@@ -342,7 +344,7 @@
                 before = work.last_event
                 outcome = self._runner.run(job.input, work, upstream, run)
                 events = work.last_event - before
-                self._pace.ran(events=events, duration=self._clock.now() - started)
+                self._pace.record_run(events=events, duration=self._clock.now() - started)
             self._apply_outcome(job, work, route, outcome)
             self._telemetry.time("item_run", self._clock.now() - started)
             self._count_item(job, work, outcome.end.value, outcome.detail, upstream, run)
@@ -362,13 +364,13 @@
         now = self._clock.now()
         with job.lock:
             if outcome.end is RunEnd.COMPLETED:
-                self._pace.ended(events=work.last_event)
-                job.work.finish(work, ItemEnd.COMPLETED)
+                self._pace.record_item(events=work.last_event)
+                job.work.finish(work, ItemOutcome.COMPLETED)
             elif outcome.end is RunEnd.FAILED:
-                work.restart()
-                job.work.failed(work, max_attempts=route.max_attempts)
+                work.discard_received()
+                job.work.record_failed_run(work, max_attempts=route.max_attempts)
             elif outcome.end is RunEnd.REJECTED:
-                job.work.rejected(work)
+                job.work.record_rejection(work)
             elif outcome.end is RunEnd.NOT_RUN:
                 work.not_before = now + NOT_RUN_RETRY_DELAY
             elif outcome.end is RunEnd.BROKEN:
--- a/packages/node/src/carobspool_node/direct/_load_hint.py
+++ b/packages/node/src/carobspool_node/direct/_load_hint.py
@@ -90,7 +90,7 @@
 ) -> bytes:
     """Encode a load hint. Entries of the previous version reject a load hint with counts."""
     groups = b"".join(
-        _GROUP_STRUCT.pack(min(int(group.turn), _MAX_UINT32), min(group.items, _MAX_UINT16))
+        _GROUP_STRUCT.pack(min(int(group.start_order), _MAX_UINT32), min(group.items, _MAX_UINT16))
         for group in backlog
     )
     message = [_LOAD_HINT_KIND, name, incarnation, sequence, pack_loads(loads), groups]
@@ -133,8 +133,8 @@
             0 <= sequence <= MAX_SEQUENCE and len(groups) % _GROUP_STRUCT.size == 0
         ):
             backlog = [
-                WaitingGroup(float(turn), items)
-                for turn, items in _GROUP_STRUCT.iter_unpack(groups)
+                WaitingGroup(float(start_order), items)
+                for start_order, items in _GROUP_STRUCT.iter_unpack(groups)
             ]
             return LoadHint(
                 name=name,
--- a/packages/node/src/carobspool_node/direct/_loads.py
+++ b/packages/node/src/carobspool_node/direct/_loads.py
@@ -70,7 +70,7 @@
         upstreams: Sequence[Upstream],
         *,
         target_latency: Millis,
-        returned: bool,
+        is_retry: bool,
         excluded: frozenset[str] = frozenset(),
         far: Sequence[Upstream] = (),
     ) -> Placement | None:
@@ -79,7 +79,7 @@
         Args:
             upstreams: Preferred candidates.
             target_latency: Time within which the answer is on time.
-            returned: Whether the caller retries after a refusal.
+            is_retry: Whether the caller retries after a refusal.
             excluded: Identities of upstreams that this request has already tried.
             far: Candidates for when all preferred ones are full or suspect. Their loads are
                 known from heartbeats only.
@@ -93,7 +93,7 @@
                 slots=upstream.slots,
                 mean_duration=self._mean_duration(upstream.service).value,
                 target_latency=target_latency,
-                returned=returned,
+                is_retry=is_retry,
             )
 
         now = self._clock.now()
--- a/packages/node/src/carobspool_node/direct/_membership.py
+++ b/packages/node/src/carobspool_node/direct/_membership.py
@@ -10,7 +10,7 @@
 
 from carobspool_core import Clock, Millis, ObjectChange, ObjectStore, StoredObject, StoreFault
 from carobspool_core import owner as rendezvous_owner
-from carobspool_core.direct import DutyCandidate, SharedView, has_watch_duty
+from carobspool_core.direct import SharedView, WatchCandidate, should_watch_store
 from carobspool_core.problems import UnusableRecordError
 from carobspool_core.records import read_record
 from carobspool_node.direct._bad_records import BadRecords
@@ -97,13 +97,13 @@
 
     def follows_store(self) -> bool:
         """Whether this entry is one of those that follow the store on behalf of all entries."""
-        own = DutyCandidate(name=self._node, store_ok=self._store_ok())
+        own = WatchCandidate(name=self._node, store_ok=self._store_ok())
         others = [
-            DutyCandidate(name=each.name, store_ok=each.store_ok)
+            WatchCandidate(name=each.name, store_ok=each.store_ok)
             for each in self._peers.live()
             if not each.leaving
         ]
-        return has_watch_duty(own, others)
+        return should_watch_store(own, others)
 
     def has_duty(self, duty: str) -> bool:
         """Whether this entry, among those that reach the store, performs a duty for all."""
--- a/packages/node/src/carobspool_node/direct/_neighbourhood.py
+++ b/packages/node/src/carobspool_node/direct/_neighbourhood.py
@@ -8,7 +8,7 @@
 from msgspec import Struct
 
 from carobspool_core import Clock, Millis
-from carobspool_core.direct import Upstream, group_count, members_of_group, part_of_group
+from carobspool_core.direct import Upstream, group_count, group_of_entry, upstreams_of_group
 
 GROUP_CACHE_TIME: Millis = 250.0
 """Time for which the group is cached, since each request needs it."""
@@ -96,7 +96,7 @@
             groups = group_count(entries=len(names), upstreams=self._largest_service())
             number, members = 0, names
             if groups > 1:
-                number, members = members_of_group(self._name, names, groups)
+                number, members = group_of_entry(self._name, names, groups)
             found = _Group(number=number, groups=groups, members=members)
             if found != self._group:
                 self._group = found
@@ -105,7 +105,7 @@
 
 def _reach_of_group(upstreams: Sequence[Upstream], group: _Group) -> Reach:
     instances = [each.instance for each in upstreams]
-    near = part_of_group(upstreams, instances, group.number, group.groups)
+    near = upstreams_of_group(upstreams, instances, group.number, group.groups)
     if near is upstreams:
         return Reach(near=upstreams, far=())
     names = {each.instance for each in near}
--- a/packages/node/src/carobspool_node/direct/_owned_job.py
+++ b/packages/node/src/carobspool_node/direct/_owned_job.py
@@ -71,12 +71,12 @@
     @property
     def job_id(self) -> str:
         """The job's id."""
-        return self._work.input.job_id
+        return self._work.job.job_id
 
     @property
     def input(self) -> JobInput:
         """The job as submitted."""
-        return self._work.input
+        return self._work.job
 
     @property
     def lock(self) -> threading.RLock:
@@ -187,7 +187,7 @@
                 return False
             if not self._work.has_uncommitted:
                 return now >= self._next_checkpoint and self._has_uncommitted_events()
-            return now >= self._next_commit or self._work.all_run
+            return now >= self._next_commit or self._work.all_items_finished
 
     def needs_final_commit(self) -> bool:
         """Whether the job has uncommitted progress that its next owner can use."""
@@ -200,7 +200,7 @@
             if self._lost:
                 return False
             with self._lock:
-                progress = self._work.proposal(self._owner)
+                progress = self._work.progress_to_commit(self._owner)
                 self._events_committed = self._work.events_received
                 self._next_commit = self._clock.now() + COMMIT_INTERVAL
                 self._next_checkpoint = self._clock.now() + CHECKPOINT_INTERVAL
@@ -251,7 +251,7 @@
             return list(self._work.committed[after:])
 
     def _has_uncommitted_events(self) -> bool:
-        if self._work.ended or self._work.all_run:
+        if self._work.ended or self._work.all_items_finished:
             return False
         return self._work.events_received != self._events_committed
 
@@ -262,7 +262,7 @@
             self._retry_pause = COMMIT_RETRY_DELAY
             self._version = stored.version
             self._segments = stored.segments
-            self._work.adopt(stored.progress)
+            self._work.apply_stored_progress(stored.progress)
             self._proof.renew(started)
             self._changed.notify_all()
 
@@ -279,7 +279,7 @@
 
     def _handle_failed_commit(self, failure: StoreFailure, started: Millis) -> bool:
         with self._lock:
-            self._work.not_committed()
+            self._work.mark_uncommitted()
             self._retry_at = self._clock.now() + self._retry_pause
             self._retry_pause = min(MAX_COMMIT_RETRY_DELAY, self._retry_pause * 2.0)
         if failure.fault is StoreFault.NOT_FOUND:
--- a/packages/node/src/carobspool_node/direct/_peer_api.py
+++ b/packages/node/src/carobspool_node/direct/_peer_api.py
@@ -77,5 +77,5 @@
         page = self._jobs.own_results(call.id, call.after, call.wait)
         if page is None:
             return 409, None
-        results = [[each.item_id, each.end.value, each.text] for each in page.results]
+        results = [[each.item_id, each.outcome.value, each.text] for each in page.results]
         return 200, {"total": page.total, "results": results}
--- a/packages/node/src/carobspool_node/direct/_request_endings.py
+++ b/packages/node/src/carobspool_node/direct/_request_endings.py
@@ -7,7 +7,7 @@
 from absl import logging
 
 from carobspool_core import Clock, Millis
-from carobspool_core.direct import return_after
+from carobspool_core.direct import retry_delay
 from carobspool_node.direct._attempt import RequestState
 from carobspool_node.direct._failure_answer import failure_answer
 from carobspool_node.direct._telemetry import Telemetry
@@ -79,7 +79,7 @@
         )
 
     def _retry_after(self, state: RequestState) -> Millis:
-        return return_after(random.random(), state.deadline - self._clock.now())
+        return retry_delay(random.random(), state.deadline - self._clock.now())
 
     def _fail(
         self, state: RequestState, status: int, outcome: str, retry_after: Millis | None
--- a/packages/node/src/carobspool_node/direct/_view_exchange.py
+++ b/packages/node/src/carobspool_node/direct/_view_exchange.py
@@ -1,6 +1,6 @@
 """Fetch the configuration and the registered upstreams from another entry instead of the store.
 
-A few entries follow the store (`has_watch_duty`). The other entries see in announcements that a
+A few entries follow the store (`should_watch_store`). The other entries see in announcements that a
 peer has a newer version, and fetch the whole view from it. What no peer can provide they read from
 the store.
 """
--- a/packages/node/tests/test_direct_foreign_jobs.py
+++ b/packages/node/tests/test_direct_foreign_jobs.py
@@ -10,7 +10,14 @@
 from returns.result import Success
 
 from carobspool_core import Json, StoreFault
-from carobspool_core.direct import ItemEnd, ItemResult, JobInput, JobItem, JobProgress, job_to_json
+from carobspool_core.direct import (
+    ItemOutcome,
+    ItemResult,
+    JobInput,
+    JobItem,
+    JobProgress,
+    job_to_json,
+)
 from carobspool_node.direct._job_adoption import JobAdoption
 from carobspool_node.direct._job_catalog import JobCatalog
 from carobspool_node.direct._job_records import INPUTS, PROGRESS, JobRecords
@@ -126,7 +133,7 @@
     done = JobProgress(
         owner="e#1",
         total=1,
-        results=(ItemResult(item_id="zzz-i", end=ItemEnd.COMPLETED, text="t"),),
+        results=(ItemResult(item_id="zzz-i", outcome=ItemOutcome.COMPLETED, text="t"),),
     )
     assert is_successful(system.records.create_input(_job("done")))
     assert is_successful(system.records.write_progress("done", done, version=0))
--- a/packages/node/tests/test_direct_loads.py
+++ b/packages/node/tests/test_direct_loads.py
@@ -45,7 +45,7 @@
             table.take_hint(peer, {}, upstreams, {"bad": 1})
             table.take_hint(peer, {}, upstreams, {"bad": 1})
         for _ in range(6):
-            placed = table.place_online(upstreams, target_latency=300.0, returned=False)
+            placed = table.place_online(upstreams, target_latency=300.0, is_retry=False)
             assert placed is not None
             assert placed.upstream.instance == "good"
         clock.at = 2_500.0
@@ -68,14 +68,14 @@
     table.take_hint("e2", {}, [earlier], {earlier.identity: 0})
     table.take_hint("e2", {earlier.identity: Load(400, 0)}, [earlier], {earlier.identity: 9})
     table.suspect(earlier)
-    placed = table.place_online([earlier], target_latency=300.0, returned=False)
+    placed = table.place_online([earlier], target_latency=300.0, is_retry=False)
     assert placed is None
     run = table.place_batch([restarted], urgency=BatchUrgency.ORDINARY, due=0.0)
     assert run is not None
     table.end_batch(*run)
     table.restarted(restarted)
     table.suspect(earlier)
-    placed = table.place_online([restarted], target_latency=300.0, returned=False)
+    placed = table.place_online([restarted], target_latency=300.0, is_retry=False)
     assert placed is not None
     assert placed.load == Load()
     assert table.own_loads() == {restarted.identity: Load(1, 0)}
@@ -93,7 +93,7 @@
     loads = {"x": Load(400, 0), "y": Load(1, 0)}
     for failures in ({"x": 0, "y": 0}, {"x": 5, "y": 5}):
         table.take_hint("e2", loads, [first, other], failures, knows_starts=False)
-    assert table.place_online([first], target_latency=300.0, returned=False) is None
+    assert table.place_online([first], target_latency=300.0, is_retry=False) is None
     assert "x:400+0/8 y!:1+0/8" in table.describe([first, other]).replace(",", " ")
     table.restarted(second)
     table.take_hint("e2", loads, [second, other], {}, knows_starts=False)
@@ -107,7 +107,7 @@
     near, far = _upstream("near"), _upstream("far")
 
     def place() -> str:
-        placed = table.place_online([near], target_latency=300.0, returned=False, far=[near, far])
+        placed = table.place_online([near], target_latency=300.0, is_retry=False, far=[near, far])
         assert placed is not None
         table.end_online(placed, completed=False)
         return placed.upstream.instance
@@ -120,7 +120,7 @@
     table.take_hint("e2", {"near": Load(400, 0)}, (), {})
     assert place() == "far"
     table.take_hint("e2", {"near": Load(400, 0), "far": Load(400, 0)}, (), {})
-    assert table.place_online([near], target_latency=300.0, returned=False, far=[far]) is None
+    assert table.place_online([near], target_latency=300.0, is_retry=False, far=[far]) is None
 
 
 def test_a_second_try_avoids_an_upstream_with_recent_failures() -> None:
@@ -132,10 +132,10 @@
     table.suspect(slow)
     table.take_hint("e2", {"good": Load(7, 0)}, (), {})
     clock.at = SUSPECT_TIME + 1.0
-    first = table.place_online([slow, good], target_latency=300.0, returned=False)
+    first = table.place_online([slow, good], target_latency=300.0, is_retry=False)
     assert first is not None and first.upstream is slow
     tried = frozenset({"another"})
-    second = table.place_online([slow, good], target_latency=300.0, returned=True, excluded=tried)
+    second = table.place_online([slow, good], target_latency=300.0, is_retry=True, excluded=tried)
     assert second is not None and second.upstream is good
-    only_choice = table.place_online([slow], target_latency=300.0, returned=True, excluded=tried)
+    only_choice = table.place_online([slow], target_latency=300.0, is_retry=True, excluded=tried)
     assert only_choice is not None
--- a/packages/node/tests/test_direct_owned_job.py
+++ b/packages/node/tests/test_direct_owned_job.py
@@ -10,7 +10,7 @@
 from carobspool_core import Millis, StoreFailure, StoreFault
 from carobspool_core.direct import (
     BatchUrgency,
-    ItemEnd,
+    ItemOutcome,
     ItemResult,
     JobInput,
     JobItem,
@@ -129,7 +129,7 @@
     """All items have run and the store refuses each commit at once. Without a delay, every entry
     with such a job retried the last commit 60 times a second."""
     (work,) = job.work.open_items()
-    job.work.finish(work, ItemEnd.COMPLETED)
+    job.work.finish(work, ItemOutcome.COMPLETED)
     assert job.is_commit_due(clock.time)
     refusal = Failure(StoreFailure(fault=StoreFault.UNAVAILABLE, key="j", detail="503"))
     monkeypatch.setattr(store, "update", lambda key, value, *, version: refusal)
@@ -149,7 +149,7 @@
     ended. The old owner resumes and receives only the report of the end. Trusting the report, it
     would consider the job finished, never read the store again, and omit the result forever."""
     run = _run(job)
-    result = ItemResult(item_id="i", end=ItemEnd.COMPLETED, text="t")
+    result = ItemResult(item_id="i", outcome=ItemOutcome.COMPLETED, text="t")
     _change(records, owner="e2#1", results=(result,), ended=True)
     assert job.report_ended()
     assert run.cancellation.cancelled
--- a/packages/node/tests/test_direct_retention.py
+++ b/packages/node/tests/test_direct_retention.py
@@ -6,7 +6,7 @@
 from msgspec.structs import replace
 from returns.pipeline import is_successful
 
-from carobspool_core.direct import ItemEnd, ItemResult, JobInput, JobItem, JobProgress
+from carobspool_core.direct import ItemOutcome, ItemResult, JobInput, JobItem, JobProgress
 from carobspool_node.direct._job_records import JobRecords
 from carobspool_node.direct._job_retention import JobRetention
 from carobspool_standins.memory_store import FaultKind, FaultRule, MemoryObjects, MemoryStore
@@ -44,7 +44,7 @@
         job = JobInput(job_id=job_id, host="h", path="/p", owner="e#1", submitted=0.0, items=items)
         assert is_successful(self.records.create_input(job))
         results = tuple(
-            ItemResult(item_id=each.item_id, end=ItemEnd.COMPLETED, text=text)
+            ItemResult(item_id=each.item_id, outcome=ItemOutcome.COMPLETED, text=text)
             for each in items[:done]
         )
         progress = JobProgress(owner="e#1", total=2, ended=ended, results=results)
--- a/tests/adapter/border_cases.py
+++ b/tests/adapter/border_cases.py
@@ -238,7 +238,7 @@
     found = read_configuration(value)
     found.route_for("h", "/p/x")
     for route in found.routes:
-        route.service_for("key")
+        route.choose_service("key")
 
 
 def _check_progress(value: Json) -> None:
--- a/tests/adapter/test_platform_names.py
+++ b/tests/adapter/test_platform_names.py
@@ -7,7 +7,7 @@
 import pytest
 
 from carobspool_core import Json
-from carobspool_core.direct import ItemEnd, ItemResult, RouteKind
+from carobspool_core.direct import ItemOutcome, ItemResult, RouteKind
 from carobspool_core.problems import UnusableRecordError
 from carobspool_node.direct import (
     BadRequestError,
@@ -152,7 +152,7 @@
 
 def test_a_page_of_results_is_bounded_but_never_empty() -> None:
     long = [
-        ItemResult(item_id=f"i{number}", end=ItemEnd.COMPLETED, text="x" * 600_000)
+        ItemResult(item_id=f"i{number}", outcome=ItemOutcome.COMPLETED, text="x" * 600_000)
         for number in range(3)
     ]
     page = ResultsPage(total=9, after=4, results=long)
--- a/tests/direct/test_shared_watch.py
+++ b/tests/direct/test_shared_watch.py
@@ -15,7 +15,7 @@
 from carobspool_standins.platform_server import ServedRequest, ServerConnection
 
 ENTRIES = 9
-WATCHERS = _watch_duty.WATCHERS
+WATCHER_COUNT = _watch_duty.WATCHER_COUNT
 PROPAGATION_LIMIT_S = 1.0
 """Time within which every entry applies a change while all entries live."""
 DRAIN_LIMIT_S = 2.0
@@ -40,7 +40,7 @@
 
 
 def _watchers(system: Deployment) -> list[Entry]:
-    names = first("watch", [each.name for each in system.entries], WATCHERS)
+    names = first("watch", [each.name for each in system.entries], WATCHER_COUNT)
     return [each for each in system.entries if each.name in names]
 
 
@@ -61,7 +61,7 @@
         for entry in system.entries:
             eventually(lambda e=entry, p=prefix: _serves_new_route(e, p), PROPAGATION_LIMIT_S)
         assert time.monotonic() < until
-    assert system.objects.calls["watch"] - before <= 6 * 2 * WATCHERS + WATCHERS
+    assert system.objects.calls["watch"] - before <= 6 * 2 * WATCHER_COUNT + WATCHER_COUNT
     assert any(each.logged("event=view_taken") for each in system.entries)
 
 
--- a/tests/fleet_load.py
+++ b/tests/fleet_load.py
@@ -14,16 +14,16 @@
 from dataclasses import dataclass, field
 
 from carobspool_core.direct import (
-    Backlog,
     BatchUrgency,
     Load,
     LoadPace,
+    PeerBacklog,
     Upstream,
     WaitingGroup,
-    group_waiting,
-    members_of_group,
-    part_of_group,
-    turn_of,
+    group_by_start_order,
+    group_of_entry,
+    start_order_of,
+    upstreams_of_group,
     urgency_of,
 )
 from carobspool_node.direct._loads import BatchRun, LoadTable, Placement
@@ -165,16 +165,16 @@
             for number in range(plan.entries)
         ]
         names = [f"entry-{number}" for number in range(plan.entries)]
-        self.groups = [members_of_group(name, names, plan.groups) for name in names]
+        self.groups = [group_of_entry(name, names, plan.groups) for name in names]
         instances = [each.instance for each in self.upstreams]
         self.near = [
-            part_of_group(self.upstreams, instances, number, plan.groups)
+            upstreams_of_group(self.upstreams, instances, number, plan.groups)
             for number, _ in self.groups
         ]
         self.by_instance = {each.instance: each for each in self.upstreams}
         self.waiting: list[deque[_Item]] = [deque() for _ in self.tables]
         self.running: list[list[_Run]] = [[] for _ in self.tables]
-        self.backlogs = [Backlog() for _ in self.tables]
+        self.backlogs = [PeerBacklog() for _ in self.tables]
         self.paces = [LoadPace() for _ in self.tables]
         self.sent_loads: list[dict[str, Load]] = [{} for _ in self.tables]
         self.send_scheduled = [False for _ in self.tables]
@@ -222,7 +222,7 @@
         placement = self.tables[entry].place_online(
             self.near[entry],
             target_latency=self.plan.target,
-            returned=False,
+            is_retry=False,
             far=self.upstreams if self.plan.groups > 1 else (),
         )
         if placement is None:
@@ -248,7 +248,7 @@
 
     def start_items(self, entry: int) -> None:
         while self.waiting[entry]:
-            item = min(self.waiting[entry], key=self.turn)
+            item = min(self.waiting[entry], key=self.start_order)
             if not self.may_start(entry, item):
                 return
             placed = self.tables[entry].place_batch(
@@ -261,11 +261,13 @@
 
     def may_start(self, entry: int, item: _Item) -> bool:
         urgency = self.urgency(item)
-        room = self.tables[entry].room_for_batch(self.near[entry], urgency=urgency)
-        return self.backlogs[entry].may_start(self.turn(item), room=room, now=self.clock.at)
+        free_slots = self.tables[entry].room_for_batch(self.near[entry], urgency=urgency)
+        return self.backlogs[entry].may_start(
+            self.start_order(item), free_slots=free_slots, now=self.clock.at
+        )
 
-    def turn(self, item: _Item) -> float:
-        return turn_of(
+    def start_order(self, item: _Item) -> float:
+        return start_order_of(
             self.urgency(item),
             age=self.clock.at - item.submitted,
             completion_target=self.plan.due,
@@ -273,7 +275,7 @@
         )
 
     def backlog(self, entry: int) -> tuple[WaitingGroup, ...]:
-        return group_waiting(self.turn(each) for each in self.waiting[entry])
+        return group_by_start_order(self.start_order(each) for each in self.waiting[entry])
 
     def urgency(self, item: _Item) -> BatchUrgency:
         return urgency_of(
@@ -381,7 +383,7 @@
         def arrive() -> None:
             for other, table in enumerate(self.tables):
                 if other != entry and (to_all or f"entry-{other}" in group):
-                    self.backlogs[other].take(f"entry-{entry}", backlog, self.clock.at)
+                    self.backlogs[other].update_peer(f"entry-{entry}", backlog, self.clock.at)
                     table.take_hint(f"entry-{entry}", loads, self.upstreams, failures)
             self.interrupt_cancelled()
             for other in range(self.plan.entries):
