--- a/packages/core/src/carobspool_core/direct/__init__.py
+++ b/packages/core/src/carobspool_core/direct/__init__.py
@@ -46,21 +46,21 @@
 )
 from carobspool_core.direct._liveness import (
     DEAD_AFTER,
-    DOUBT_TIME,
     FORGET_AFTER,
     GONE_AFTER,
+    OWNERSHIP_UNCERTAIN_TIME,
     SILENT_AFTER,
     Liveness,
     PeerStatus,
 )
-from carobspool_core.direct._load_pace import LoadPace
+from carobspool_core.direct._load_pace import LoadSendLimiter
 from carobspool_core.direct._placement import (
     BATCH_RESERVE,
     choose_batch_upstream,
     choose_upstream,
-    excess_of_batch,
-    room_for_batch,
-    share_of_excess,
+    excess_batch_runs,
+    free_batch_slots,
+    runs_to_cancel,
 )
 from carobspool_core.direct._queueing import (
     MeanDuration,
@@ -71,22 +71,22 @@
     retry_delay,
     retry_delay_in_outage,
 )
-from carobspool_core.direct._shared_view import SharedView
+from carobspool_core.direct._shared_view import ViewVersion
 from carobspool_core.direct._upstream_identity import (
     by_identity,
     by_instance,
     identity_of,
-    key_of,
     latest_starts,
+    short_key_of,
 )
-from carobspool_core.direct._upstreams import LAPSE_GRACE, Upstream, UpstreamList, UpstreamsView
+from carobspool_core.direct._upstreams import LAPSE_GRACE, Upstream, UpstreamList, UpstreamsSnapshot
 from carobspool_core.direct._waiting_quota import fits_quota
 from carobspool_core.direct._watch_duty import WatchCandidate, should_watch_store
 
 __all__ = [
     "BATCH_RESERVE",
     "DEAD_AFTER",
-    "DOUBT_TIME",
+    "OWNERSHIP_UNCERTAIN_TIME",
     "FORGET_AFTER",
     "GONE_AFTER",
     "LAPSE_GRACE",
@@ -112,18 +112,18 @@
     "JobWork",
     "Liveness",
     "Load",
-    "LoadPace",
+    "LoadSendLimiter",
     "MeanDuration",
     "PartialItem",
     "PeerStatus",
     "Route",
     "RouteKind",
-    "SharedView",
+    "ViewVersion",
     "StreamEvent",
     "HandoverCandidate",
     "Upstream",
     "UpstreamList",
-    "UpstreamsView",
+    "UpstreamsSnapshot",
     "WaitingGroup",
     "WeightedService",
     "by_identity",
@@ -131,7 +131,7 @@
     "can_finish_in_time",
     "choose_batch_upstream",
     "choose_upstream",
-    "excess_of_batch",
+    "excess_batch_runs",
     "fits_quota",
     "failover_at",
     "group_count",
@@ -143,7 +143,7 @@
     "identity_of",
     "job_from_json",
     "job_to_json",
-    "key_of",
+    "short_key_of",
     "latest_starts",
     "should_release_jobs",
     "group_of_entry",
@@ -154,8 +154,8 @@
     "results_from_json",
     "retry_delay",
     "retry_delay_in_outage",
-    "room_for_batch",
-    "share_of_excess",
+    "free_batch_slots",
+    "runs_to_cancel",
     "start_order_of",
     "urgency_of",
 ]
--- a/packages/core/src/carobspool_core/direct/_failure_reports.py
+++ b/packages/core/src/carobspool_core/direct/_failure_reports.py
@@ -35,16 +35,16 @@
         self._peer_counts: dict[str, Mapping[str, int]] = {}
         self._failure_times: dict[str, deque[Millis]] = {}
 
-    def note(self, identity: str, now: Millis) -> None:
+    def record_failure(self, identity: str, now: Millis) -> None:
         """Record a failure that this entry observed."""
         self._own_counts[identity] = self._own_counts.get(identity, 0) + 1
         self._add(identity, 1, now)
 
-    def own(self) -> dict[str, int]:
+    def own_counts(self) -> dict[str, int]:
         """Return the failures that this entry observed since its start, to report to peers."""
         return dict(self._own_counts)
 
-    def take(self, peer: str, counts: Mapping[str, int], now: Millis) -> None:
+    def update_peer(self, peer: str, counts: Mapping[str, int], now: Millis) -> None:
         """Record the failures that another entry observed since its start.
 
         The first report of a peer is only a baseline and adds no failures: it covers the time
@@ -59,7 +59,7 @@
             # A peer that has restarted counts from 0 again and reports a lower number.
             self._add(identity, count - previous if count >= previous else count, now)
 
-    def failing(self, now: Millis) -> set[str]:
+    def upstreams_to_avoid(self, now: Millis) -> set[str]:
         """Return the upstreams to avoid."""
         failing_upstreams = set()
         for identity, times in self._failure_times.items():
@@ -69,7 +69,7 @@
                 failing_upstreams.add(identity)
         return failing_upstreams
 
-    def keep_only(self, identities: set[str], peers: set[str]) -> None:
+    def retain_only(self, identities: set[str], peers: set[str]) -> None:
         """Forget all upstreams and peers other than the given ones."""
         self._own_counts = {
             key: count for key, count in self._own_counts.items() if key in identities
--- a/packages/core/src/carobspool_core/direct/_fleet_loads.py
+++ b/packages/core/src/carobspool_core/direct/_fleet_loads.py
@@ -66,7 +66,7 @@
         """Add to the requests that this entry has in flight at an upstream; may be negative."""
         self._add(identity, online, batch)
 
-    def take(self, peer: str, loads: Mapping[str, Load], now: Millis) -> bool:
+    def update_peer(self, peer: str, loads: Mapping[str, Load], now: Millis) -> bool:
         """Replace the loads of a peer; return whether its load decreased at any upstream.
 
         Args:
@@ -100,7 +100,7 @@
             for identity, previous in report.loads.items():
                 self._replace(peer, identity, previous, NO_LOAD)
 
-    def at(self, identity: str) -> Mapping[str, Load]:
+    def loads_by_peer(self, identity: str) -> Mapping[str, Load]:
         """Return the requests that each peer has in flight at an upstream."""
         return MappingProxyType(self._peer_loads_by_upstream.get(identity, {}))
 
@@ -108,7 +108,7 @@
         """Return the peers whose loads have not expired."""
         return set(self._reports)
 
-    def ages(self, now: Millis) -> Iterator[Millis]:
+    def report_ages(self, now: Millis) -> Iterator[Millis]:
         """Yield the time since the last hint of each peer."""
         return (now - report.received for report in self._reports.values())
 
--- a/packages/core/src/carobspool_core/direct/_liveness.py
+++ b/packages/core/src/carobspool_core/direct/_liveness.py
@@ -22,7 +22,7 @@
 """Time without a hint after which a peer is not expected back soon; a restart takes two seconds."""
 FORGET_AFTER: Millis = 30_000.0
 """Time without a hint after which hints are no longer sent to the last known address of a peer."""
-DOUBT_TIME: Millis = 4_000.0
+OWNERSHIP_UNCERTAIN_TIME: Millis = 4_000.0
 """How long after a sign of a partition an owner checks with the store before it works on a job or
 answers calls on it. A takeover happens within `DEAD_AFTER` of the partition and is noticed within
 this time. A peer that stays silent is such a sign until it is forgotten, since it may act during
@@ -51,29 +51,29 @@
             this entry, so the ownership of all jobs is uncertain at first.
     """
 
-    __slots__ = ("_doubt_until", "_last_tick", "_reported_gone", "_shut_down")
+    __slots__ = ("_ownership_uncertain_until", "_last_tick", "_reported_gone", "_shut_down")
 
     def __init__(self, now: Millis) -> None:
-        self._doubt_until = now + DOUBT_TIME
+        self._ownership_uncertain_until = now + OWNERSHIP_UNCERTAIN_TIME
         self._last_tick = now
         self._shut_down: set[str] = set()
         self._reported_gone: set[str] = set()
 
     @property
-    def doubt_until(self) -> Millis:
+    def ownership_uncertain_until(self) -> Millis:
         """Time until which others may have acted on this entry's jobs without its knowledge."""
-        return self._doubt_until
+        return self._ownership_uncertain_until
 
-    def look(self, now: Millis) -> Millis:
+    def record_tick(self, now: Millis) -> Millis:
         """Record that the process is running; return how long it was suspended, 0 if it was not."""
         gap = now - self._last_tick
         self._last_tick = now
         if gap <= SILENT_AFTER:
             return 0.0
-        self._doubt_until = now + DOUBT_TIME
+        self._ownership_uncertain_until = now + OWNERSHIP_UNCERTAIN_TIME
         return gap
 
-    def heard(self, silence: Millis | None, now: Millis) -> None:
+    def record_hint(self, silence: Millis | None, now: Millis) -> None:
         """Record a hint of a peer.
 
         Args:
@@ -82,13 +82,15 @@
             now: Current time.
         """
         if silence is None or silence > SILENT_AFTER:
-            self._doubt_until = max(self._doubt_until, now)
+            self._ownership_uncertain_until = max(self._ownership_uncertain_until, now)
 
-    def reported_silent(self, now: Millis) -> None:
+    def record_reported_silent(self, now: Millis) -> None:
         """Record that a peer reports this entry as silent."""
-        self._doubt_until = now + DOUBT_TIME
+        self._ownership_uncertain_until = now + OWNERSHIP_UNCERTAIN_TIME
 
-    def judge(self, identity: str, silence: Millis, *, leaving: bool, now: Millis) -> PeerStatus:
+    def evaluate_peer(
+        self, identity: str, silence: Millis, *, leaving: bool, now: Millis
+    ) -> PeerStatus:
         """Evaluate the time since the last hint of a peer.
 
         Args:
@@ -98,12 +100,12 @@
             now: Current time.
         """
         if silence > SILENT_AFTER and not leaving:
-            self._doubt_until = now + DOUBT_TIME
+            self._ownership_uncertain_until = now + OWNERSHIP_UNCERTAIN_TIME
         if silence > SILENT_AFTER and leaving and identity not in self._shut_down:
             # The peer may have acted last without reporting it to any entry, and it may never
             # start again.
             self._shut_down.add(identity)
-            self._doubt_until = max(self._doubt_until, now)
+            self._ownership_uncertain_until = max(self._ownership_uncertain_until, now)
         is_gone = silence >= GONE_AFTER and identity not in self._reported_gone
         if is_gone:
             self._reported_gone.add(identity)
--- a/packages/core/src/carobspool_core/direct/_load_pace.py
+++ b/packages/core/src/carobspool_core/direct/_load_pace.py
@@ -23,7 +23,7 @@
 """Shorter waits count as none: adding them to the current time might not change its value."""
 
 
-class LoadPace:
+class LoadSendLimiter:
     """Token bucket for sending loads to all peers. Not thread-safe; callers pass in the time."""
 
     __slots__ = ("_tokens", "_refilled_at", "_last_sent_at")
@@ -33,7 +33,7 @@
         self._refilled_at: Millis = 0.0
         self._last_sent_at: Millis = float("-inf")
 
-    def wait(self, now: Millis, *, peers: int) -> Millis:
+    def delay_before_send(self, now: Millis, *, peers: int) -> Millis:
         """Return how long to wait before loads may be sent again, 0 if they may be sent now."""
         self._refill(now, peers)
         gap = 0.0 if self._tokens >= 1.0 else (1.0 - self._tokens) * self._interval_per_send(peers)
@@ -41,7 +41,7 @@
         wait = max(MIN_SEND_INTERVAL - since, min(gap, MAX_SEND_INTERVAL - since))
         return wait if wait > MIN_WAIT else 0.0
 
-    def sent(self, now: Millis, *, peers: int) -> None:
+    def record_send(self, now: Millis, *, peers: int) -> None:
         """Record that loads were sent to all peers."""
         self._refill(now, peers)
         self._tokens = max(0.0, self._tokens - 1.0)
--- a/packages/core/src/carobspool_core/direct/_placement.py
+++ b/packages/core/src/carobspool_core/direct/_placement.py
@@ -34,7 +34,7 @@
 }
 FULL_RESERVE_MIN_SLOTS = 6
 """Smaller upstreams reserve one slot only; two of four would halve the slots for batch items."""
-SAMPLED = 5
+SAMPLE_SIZE = 5
 """Size of the random sample from which the least loaded upstream is chosen. All entries see nearly
 the same loads, 50 ms old. If each entry chose the least loaded of all upstreams, all entries would
 choose the same upstream during that time."""
@@ -55,7 +55,7 @@
     loads: Mapping[str, Load],
     *,
     failure_domain: str,
-    queue: Callable[[Upstream], int],
+    queue_limit_of: Callable[[Upstream], int],
     suspects: frozenset[str] = frozenset(),
     draw: random.Random | None = None,
 ) -> Upstream | None:
@@ -71,30 +71,30 @@
         upstreams: Candidates.
         loads: Known requests in flight, by identity of the upstream.
         failure_domain: Failure domain in which the request is now.
-        queue: Returns how many online requests may wait at an upstream beyond its slots.
+        queue_limit_of: Returns how many online requests may wait at an upstream beyond its slots.
         suspects: Identities of upstreams that seem to have stopped.
         draw: Random numbers for the sample and for ties.
     """
     draw = draw or _draw
     sampled = _sample_healthy(upstreams, suspects, draw)
     if sampled:
-        chosen = _least_loaded(sampled, loads, failure_domain, queue, suspects, draw)
+        chosen = _least_loaded(sampled, loads, failure_domain, queue_limit_of, suspects, draw)
         if chosen is not None:
             return chosen
-    return _least_loaded(upstreams, loads, failure_domain, queue, suspects, draw)
+    return _least_loaded(upstreams, loads, failure_domain, queue_limit_of, suspects, draw)
 
 
 def _sample_healthy(
     upstreams: Sequence[Upstream], suspects: frozenset[str], draw: random.Random
 ) -> Sequence[Upstream]:
-    """Return `SAMPLED` random upstreams that are not suspects, none if there are not more."""
-    if len(upstreams) <= SAMPLED:
+    """Return `SAMPLE_SIZE` random upstreams that are not suspects, none if there are not more."""
+    if len(upstreams) <= SAMPLE_SIZE:
         return ()
-    # Draws enough upstreams that `SAMPLED` healthy ones remain even if all suspects are drawn. The
-    # cost does not depend on the number of upstreams.
-    sample = draw.sample(upstreams, min(len(upstreams), SAMPLED + 1 + len(suspects)))
+    # Draws enough upstreams that `SAMPLE_SIZE` healthy ones remain even if all suspects are drawn.
+    # The cost does not depend on the number of upstreams.
+    sample = draw.sample(upstreams, min(len(upstreams), SAMPLE_SIZE + 1 + len(suspects)))
     healthy = [candidate for candidate in sample if candidate.identity not in suspects]
-    return healthy[:SAMPLED] if len(healthy) > SAMPLED else ()
+    return healthy[:SAMPLE_SIZE] if len(healthy) > SAMPLE_SIZE else ()
 
 
 def _least_loaded(
@@ -142,7 +142,7 @@
         if upstream.identity in suspects:
             continue
         load = loads.get(upstream.identity, NO_LOAD)
-        free = _free_batch_slots(upstream, load, urgency)
+        free = _free_batch_slots_at(upstream, load, urgency)
         if free <= 0:
             continue
         score = -free / upstream.slots + draw.random() * _JITTER
@@ -152,7 +152,7 @@
     return best
 
 
-def room_for_batch(
+def free_batch_slots(
     upstreams: Sequence[Upstream],
     loads: Mapping[str, Load],
     *,
@@ -160,15 +160,15 @@
     suspects: frozenset[str] = frozenset(),
 ) -> int:
     """Return the number of slots that batch items of one urgency could use now."""
-    room = 0
+    free = 0
     for upstream in upstreams:
         if upstream.identity not in suspects:
             load = loads.get(upstream.identity, NO_LOAD)
-            room += max(0, _free_batch_slots(upstream, load, urgency))
-    return room
+            free += max(0, _free_batch_slots_at(upstream, load, urgency))
+    return free
 
 
-def _free_batch_slots(upstream: Upstream, load: Load, urgency: BatchUrgency) -> int:
+def _free_batch_slots_at(upstream: Upstream, load: Load, urgency: BatchUrgency) -> int:
     return upstream.slots - _reserve(upstream.slots, urgency) - load.total
 
 
@@ -177,14 +177,14 @@
     return max(0, reserve - _RESERVE_USED_BY_BATCH.get(urgency, 0))
 
 
-def excess_of_batch(upstream: Upstream, load: Load) -> int:
+def excess_batch_runs(upstream: Upstream, load: Load) -> int:
     """Return how many batch runs at an upstream block online requests."""
     if load.online == 0:
         return 0
     return max(0, min(load.total - upstream.slots, load.batch))
 
 
-def share_of_excess(
+def runs_to_cancel(
     upstream: Upstream, excess: int, batch_of_entries: Mapping[str, int], entry: str
 ) -> int:
     """Return how many of its batch runs at an upstream an entry cancels.
--- a/packages/core/src/carobspool_core/direct/_shared_view.py
+++ b/packages/core/src/carobspool_core/direct/_shared_view.py
@@ -16,12 +16,12 @@
 """Least time between two reads while the difference lasts, since each read is a billed call."""
 
 
-class SharedView:
+class ViewVersion:
     """Compares the version of this process's view of a list with the versions of its peers.
 
     Args:
-        change_time: Longest time in which a change reaches every process if nothing is lost.
-        read_again: Least time between two reads while the difference lasts.
+        propagation_time: Longest time in which a change reaches every process if nothing is lost.
+        reread_interval: Least time between two reads while the difference lasts.
 
     Attributes:
         version: Version of this process's view: an increasing number or a digest.
@@ -36,19 +36,22 @@
     )
 
     def __init__(
-        self, *, change_time: Millis = PROPAGATION_TIME, read_again: Millis = REREAD_INTERVAL
+        self,
+        *,
+        propagation_time: Millis = PROPAGATION_TIME,
+        reread_interval: Millis = REREAD_INTERVAL,
     ) -> None:
-        self._propagation_time = change_time
-        self._reread_interval = read_again
+        self._propagation_time = propagation_time
+        self._reread_interval = reread_interval
         self.version = 0
         self._differs_since: Millis | None = None
         self._last_reread_at: Millis = float("-inf")
 
-    def is_behind(self, version: int, now: Millis) -> bool:
+    def should_reread_for_version(self, version: int, now: Millis) -> bool:
         """Whether to read the list again because a peer reports a higher version."""
         return self._reread_is_due(version > self.version, now)
 
-    def differs(self, digest: int, now: Millis) -> bool:
+    def should_reread_for_digest(self, digest: int, now: Millis) -> bool:
         """Whether to read the list again because a peer reports a different digest.
 
         Only a lasting difference counts. A single peer that agrees does not end it, since most
--- a/packages/core/src/carobspool_core/direct/_upstream_identity.py
+++ b/packages/core/src/carobspool_core/direct/_upstream_identity.py
@@ -33,7 +33,7 @@
     return instance if started == UNKNOWN_START else f"{instance}{_SEPARATOR}{started}"
 
 
-def key_of(identity: str) -> int:
+def short_key_of(identity: str) -> int:
     """Return a four-byte hash that is short enough for hints; two identities may share a hash."""
     return xxh32_intdigest(identity.encode())
 
--- a/packages/core/src/carobspool_core/direct/_upstreams.py
+++ b/packages/core/src/carobspool_core/direct/_upstreams.py
@@ -10,7 +10,7 @@
 from xxhash import xxh3_64_intdigest
 
 from carobspool_core._clock import Millis
-from carobspool_core.direct._upstream_identity import UNKNOWN_START, identity_of, key_of
+from carobspool_core.direct._upstream_identity import UNKNOWN_START, identity_of, short_key_of
 
 OUTAGE_REMAINING_SHARE = 0.5
 """A removed upstream counts as lapsed only if less than this share of its service is left. An
@@ -61,7 +61,7 @@
         return self.instance == other.instance and self.started > other.started
 
 
-class UpstreamsView(Struct, frozen=True, kw_only=True):
+class UpstreamsSnapshot(Struct, frozen=True, kw_only=True):
     """A snapshot of the upstreams that one entry knows, for another entry.
 
     Attributes:
@@ -98,7 +98,7 @@
         self._key_cache: Mapping[int, str] | None = None
         self._largest_service_size: int | None = None
 
-    def regained(self, now: Millis) -> None:
+    def store_recovered(self, now: Millis) -> None:
         """Record that the store can be read again after failed reads."""
         self._grace_until = now + LAPSE_GRACE
         self._ready_before_outage = self._count_ready_by_service()
@@ -114,7 +114,7 @@
             unusable: Instances with registrations that exist but are invalid.
         """
         for instance in unusable:
-            self.refuse(instance)
+            self.reject_registration(instance)
         self._clear_caches()
         before = self._listed
         self._listed = {}
@@ -132,15 +132,15 @@
                 self._keep_if_lapsed(upstream, now)
         return restarted
 
-    def view(self, now: Millis) -> UpstreamsView:
+    def snapshot(self, now: Millis) -> UpstreamsSnapshot:
         """Return a snapshot of the known upstreams for another entry."""
         lapsed = [(each, until - now) for each, until in self._lapsed.values() if until > now]
-        return UpstreamsView(listed=self.listed(), lapsed=lapsed)
+        return UpstreamsSnapshot(listed=self.listed(), lapsed=lapsed)
 
-    def adopt(self, view: UpstreamsView, now: Millis) -> list[Upstream]:
+    def apply_snapshot(self, snapshot: UpstreamsSnapshot, now: Millis) -> list[Upstream]:
         """Apply the snapshot of another entry; return the upstreams that have restarted."""
-        restarted = self.replace(view.listed, now)
-        for upstream, left in view.lapsed:
+        restarted = self.replace(snapshot.listed, now)
+        for upstream, left in snapshot.lapsed:
             if upstream.instance not in self._listed:
                 self._lapsed[upstream.instance] = (upstream, now + left)
         return restarted
@@ -151,7 +151,7 @@
             return []
         return [upstream] if self._list_upstream(upstream) else []
 
-    def refuse(self, instance: str) -> None:
+    def reject_registration(self, instance: str) -> None:
         """Drop the upstream of an invalid registration, even if its last registration was valid.
 
         The registration exists, so it has not lapsed, and the upstream is not kept in use after an
@@ -247,7 +247,7 @@
             found: dict[int, str] = {}
             shared = set()
             for identity in self.identities():
-                key = key_of(identity)
+                key = short_key_of(identity)
                 if key in found:
                     shared.add(key)
                 found[key] = identity
--- a/packages/core/tests/test_direct_decisions.py
+++ b/packages/core/tests/test_direct_decisions.py
@@ -13,9 +13,9 @@
     EventSplitter,
     Route,
     RouteKind,
-    SharedView,
     Upstream,
     UpstreamList,
+    ViewVersion,
     WeightedService,
     fits_quota,
 )
@@ -120,7 +120,7 @@
     The service must keep its upstreams while the live servers register again."""
     known = UpstreamList()
     known.replace([_upstream("x"), _upstream("y")], now=0.0)
-    known.regained(now=10_000.0)
+    known.store_recovered(now=10_000.0)
     known.replace([], now=10_000.0)
     assert {each.instance for each in known.usable("engine", 10_100.0)} == {"x", "y"}
     known.put(_upstream("x"))
@@ -137,7 +137,7 @@
     would receive requests for two seconds after it announced that it leaves."""
     known = UpstreamList()
     known.replace([_upstream("x"), _upstream("y"), _upstream("z")], now=0.0)
-    known.regained(now=10_000.0)
+    known.store_recovered(now=10_000.0)
     if by_listing:
         known.replace([_upstream("y"), _upstream("z")], now=10_001.0)
     else:
@@ -148,7 +148,7 @@
 def test_service_whose_registrations_lapse_one_by_one_keeps_upstreams() -> None:
     known = UpstreamList()
     known.replace([_upstream("x"), _upstream("y"), _upstream("z")], now=0.0)
-    known.regained(now=10_000.0)
+    known.store_recovered(now=10_000.0)
     for name in ("x", "y", "z"):
         known.remove(name, now=10_100.0)
     assert len(known.usable("engine", 10_200.0)) == 2
@@ -166,7 +166,7 @@
 def test_draining_server_is_not_used_after_its_registration_lapses() -> None:
     known = UpstreamList()
     known.replace([_upstream("x", ready=False)], now=0.0)
-    known.regained(now=1_000.0)
+    known.store_recovered(now=1_000.0)
     known.replace([], now=1_000.0)
     assert known.usable("engine", 1_001.0) == []
 
@@ -174,24 +174,24 @@
 def test_view_that_stays_behind_is_reread_after_a_delay_and_at_a_limited_rate() -> None:
     """A broken watch receives no events: this entry knows version 4, another entry version 8. A
     change that is still propagating differs for a few ms only and causes no call."""
-    view = SharedView()
+    view = ViewVersion()
     view.version = 4
-    assert not view.is_behind(8, now=0.0)
-    assert view.is_behind(8, now=500.0)
-    assert not view.is_behind(8, now=600.0)
-    assert view.is_behind(8, now=1_700.0)
+    assert not view.should_reread_for_version(8, now=0.0)
+    assert view.should_reread_for_version(8, now=500.0)
+    assert not view.should_reread_for_version(8, now=600.0)
+    assert view.should_reread_for_version(8, now=1_700.0)
     view.version = 8
-    assert not view.is_behind(8, now=1_800.0)
+    assert not view.should_reread_for_version(8, now=1_800.0)
 
 
 def test_peer_that_missed_the_same_change_does_not_hide_the_difference() -> None:
-    view = SharedView()
+    view = ViewVersion()
     view.version = 1
     due = []
     for step in range(10):
         now = step * 100.0
-        due.append(view.differs(1, now))
-        due.append(view.differs(2, now + 50.0))
+        due.append(view.should_reread_for_digest(1, now))
+        due.append(view.should_reread_for_digest(2, now + 50.0))
     assert any(due)
 
 
--- a/packages/core/tests/test_direct_failure_reports.py
+++ b/packages/core/tests/test_direct_failure_reports.py
@@ -7,44 +7,44 @@
 
 def test_two_recent_failures_seen_by_any_entries_mark_an_upstream() -> None:
     reports = FailureReports()
-    reports.take("p", {}, now=0.0)
-    reports.note("x", now=100.0)
-    assert reports.failing(200.0) == set()
-    reports.take("p", {"x": 1, "y": 1}, now=300.0)
-    assert reports.failing(400.0) == {"x"}
-    assert reports.failing(2_200.0) == set()
+    reports.update_peer("p", {}, now=0.0)
+    reports.record_failure("x", now=100.0)
+    assert reports.upstreams_to_avoid(200.0) == set()
+    reports.update_peer("p", {"x": 1, "y": 1}, now=300.0)
+    assert reports.upstreams_to_avoid(400.0) == {"x"}
+    assert reports.upstreams_to_avoid(2_200.0) == set()
 
 
 def test_first_report_of_a_peer_adds_no_failures() -> None:
     reports = FailureReports()
-    reports.take("p", {"x": 40}, now=0.0)
-    assert reports.failing(1.0) == set()
-    reports.take("p", {"x": 42}, now=100.0)
-    assert reports.failing(101.0) == {"x"}
+    reports.update_peer("p", {"x": 40}, now=0.0)
+    assert reports.upstreams_to_avoid(1.0) == set()
+    reports.update_peer("p", {"x": 42}, now=100.0)
+    assert reports.upstreams_to_avoid(101.0) == {"x"}
 
 
 def test_counts_of_a_restarted_peer_start_at_zero() -> None:
     reports = FailureReports()
-    reports.take("p", {"x": 40}, now=0.0)
-    reports.take("p", {"x": 1}, now=100.0)
-    assert reports.failing(101.0) == set()
-    reports.take("p", {"x": 2}, now=200.0)
-    assert reports.failing(201.0) == {"x"}
+    reports.update_peer("p", {"x": 40}, now=0.0)
+    reports.update_peer("p", {"x": 1}, now=100.0)
+    assert reports.upstreams_to_avoid(101.0) == set()
+    reports.update_peer("p", {"x": 2}, now=200.0)
+    assert reports.upstreams_to_avoid(201.0) == {"x"}
 
 
 def test_repeated_report_adds_no_failures() -> None:
     reports = FailureReports()
-    reports.take("p", {}, now=0.0)
+    reports.update_peer("p", {}, now=0.0)
     for step in range(5):
-        reports.take("p", {"x": 1}, now=step * 10.0)
-    assert reports.failing(60.0) == set()
+        reports.update_peer("p", {"x": 1}, now=step * 10.0)
+    assert reports.upstreams_to_avoid(60.0) == set()
 
 
 def test_removed_upstreams_and_peers_are_forgotten() -> None:
     reports = FailureReports()
-    reports.take("p", {}, now=0.0)
-    reports.take("p", {"x": 2}, now=1.0)
-    reports.note("x", now=1.0)
-    reports.keep_only(set(), set())
-    assert reports.failing(2.0) == set()
-    assert reports.own() == {}
+    reports.update_peer("p", {}, now=0.0)
+    reports.update_peer("p", {"x": 2}, now=1.0)
+    reports.record_failure("x", now=1.0)
+    reports.retain_only(set(), set())
+    assert reports.upstreams_to_avoid(2.0) == set()
+    assert reports.own_counts() == {}
--- a/packages/core/tests/test_direct_fleet_loads.py
+++ b/packages/core/tests/test_direct_fleet_loads.py
@@ -61,7 +61,7 @@
             before = reported.get(step.peer, (0.0, step.loads))[1]
             if now - reported.get(step.peer, (now, {}))[0] > PEER_LOAD_TTL:
                 before = step.loads
-            freed = fleet.take(step.peer, step.loads, now)
+            freed = fleet.update_peer(step.peer, step.loads, now)
             assert freed == any(
                 load.total > step.loads.get(upstream, NO_LOAD).total
                 for upstream, load in before.items()
@@ -86,7 +86,7 @@
             loads = [each.get(upstream, NO_LOAD) for each in counted] + [own[upstream]]
             expected = Load(sum(each.online for each in loads), sum(each.batch for each in loads))
             assert fleet.totals.get(upstream, NO_LOAD) == expected
-            at = {peer: load for peer, load in fleet.at(upstream).items() if load.total}
+            at = {peer: load for peer, load in fleet.loads_by_peer(upstream).items() if load.total}
             assert at == {
                 peer: loads[upstream]
                 for peer, (received, loads) in reported.items()
--- a/packages/core/tests/test_direct_liveness.py
+++ b/packages/core/tests/test_direct_liveness.py
@@ -5,7 +5,13 @@
 import pytest
 
 from carobspool_core import Millis
-from carobspool_core.direct import DEAD_AFTER, DOUBT_TIME, FORGET_AFTER, GONE_AFTER, Liveness
+from carobspool_core.direct import (
+    DEAD_AFTER,
+    FORGET_AFTER,
+    GONE_AFTER,
+    OWNERSHIP_UNCERTAIN_TIME,
+    Liveness,
+)
 
 TICK: Millis = 100.0
 
@@ -23,7 +29,7 @@
     @property
     def has_doubt(self) -> bool:
         """Whether a proof of ownership obtained now may already be outdated."""
-        return self.liveness.doubt_until >= self.now
+        return self.liveness.ownership_uncertain_until >= self.now
 
     def wait(self, duration: Millis, *, hearing: bool, leaving: bool = False) -> None:
         """Advance the time tick by tick."""
@@ -32,11 +38,11 @@
             self.now += TICK
             if hearing:
                 self.receive_hint()
-            self.liveness.look(self.now)
+            self.liveness.record_tick(self.now)
             if self.last_hint_at is None:
                 continue
             silence = self.now - self.last_hint_at
-            state = self.liveness.judge("e2#1", silence, leaving=leaving, now=self.now)
+            state = self.liveness.evaluate_peer("e2#1", silence, leaving=leaving, now=self.now)
             if state.is_lost:
                 self.lost_at.append(silence)
             if state.is_gone:
@@ -47,7 +53,7 @@
     def receive_hint(self) -> None:
         """Receive a hint of the peer."""
         silence = None if self.last_hint_at is None else self.now - self.last_hint_at
-        self.liveness.heard(silence, self.now)
+        self.liveness.record_hint(silence, self.now)
         self.last_hint_at = self.now
 
 
@@ -55,7 +61,7 @@
 def simulation() -> _Simulation:
     """An entry that has received hints of its peer for longer than the initial doubt lasts."""
     entry = _Simulation()
-    entry.wait(DOUBT_TIME + TICK, hearing=True)
+    entry.wait(OWNERSHIP_UNCERTAIN_TIME + TICK, hearing=True)
     assert not entry.has_doubt
     return entry
 
@@ -78,7 +84,7 @@
     for _ in range(20):
         simulation.wait(1_000.0, hearing=False)
         assert simulation.has_doubt
-    simulation.wait(FORGET_AFTER + DOUBT_TIME, hearing=False)
+    simulation.wait(FORGET_AFTER + OWNERSHIP_UNCERTAIN_TIME, hearing=False)
     assert not simulation.has_doubt
     simulation.receive_hint()
     assert simulation.has_doubt
@@ -88,8 +94,8 @@
     """Others may have declared the suspended process dead; receiving their hints again right
     afterwards does not rule that out."""
     simulation.now += 10_000.0
-    assert simulation.liveness.look(simulation.now) == 10_000.0
-    simulation.wait(DOUBT_TIME - TICK, hearing=True)
+    assert simulation.liveness.record_tick(simulation.now) == 10_000.0
+    simulation.wait(OWNERSHIP_UNCERTAIN_TIME - TICK, hearing=True)
     assert simulation.has_doubt
 
 
@@ -103,5 +109,5 @@
 
 
 def test_report_of_silence_causes_doubt(simulation: _Simulation) -> None:
-    simulation.liveness.reported_silent(simulation.now)
+    simulation.liveness.record_reported_silent(simulation.now)
     assert simulation.has_doubt
--- a/packages/core/tests/test_direct_placement.py
+++ b/packages/core/tests/test_direct_placement.py
@@ -10,8 +10,8 @@
     Upstream,
     choose_batch_upstream,
     choose_upstream,
-    excess_of_batch,
-    share_of_excess,
+    excess_batch_runs,
+    runs_to_cancel,
 )
 
 
@@ -29,7 +29,7 @@
 def test_online_request_goes_to_the_least_loaded_upstream() -> None:
     pool = [_upstream("x"), _upstream("y")]
     loads = {"x": Load(online=5), "y": Load(online=2)}
-    chosen = choose_upstream(pool, loads, failure_domain="a", queue=lambda _: 6)
+    chosen = choose_upstream(pool, loads, failure_domain="a", queue_limit_of=lambda _: 6)
     assert chosen is pool[1]
 
 
@@ -39,7 +39,7 @@
     pool = [_upstream(f"u{number}", domain="abc"[number % 3]) for number in range(9)]
     loads: dict[str, Load] = {}
     for _ in range(60):
-        chosen = choose_upstream(pool, loads, failure_domain="a", queue=lambda _: 6)
+        chosen = choose_upstream(pool, loads, failure_domain="a", queue_limit_of=lambda _: 6)
         assert chosen is not None
         loads[chosen.instance] = Load(online=loads.get(chosen.instance, Load()).online + 1)
     assert max(load.online for load in loads.values()) <= 8
@@ -47,9 +47,11 @@
 
 def test_no_upstream_is_chosen_when_all_queues_are_full() -> None:
     pool = [_upstream("x", slots=8)]
-    assert choose_upstream(pool, {"x": Load(online=8 + 5)}, failure_domain="a", queue=lambda _: 6)
+    assert choose_upstream(
+        pool, {"x": Load(online=8 + 5)}, failure_domain="a", queue_limit_of=lambda _: 6
+    )
     assert not choose_upstream(
-        pool, {"x": Load(online=8 + 6)}, failure_domain="a", queue=lambda _: 6
+        pool, {"x": Load(online=8 + 6)}, failure_domain="a", queue_limit_of=lambda _: 6
     )
 
 
@@ -58,12 +60,12 @@
     loads = {"y": Load(online=7)}
     assert (
         choose_upstream(
-            pool, loads, failure_domain="a", queue=lambda _: 6, suspects=frozenset({"x"})
+            pool, loads, failure_domain="a", queue_limit_of=lambda _: 6, suspects=frozenset({"x"})
         )
         is pool[1]
     )
     assert choose_upstream(
-        pool[:1], loads, failure_domain="a", queue=lambda _: 6, suspects=frozenset({"x"})
+        pool[:1], loads, failure_domain="a", queue_limit_of=lambda _: 6, suspects=frozenset({"x"})
     )
 
 
@@ -105,7 +107,7 @@
 ) -> None:
     """At an upstream of eight slots, only batch runs beyond the slots are cancelled, and only if
     online requests run there."""
-    assert excess_of_batch(_upstream("x"), Load(online, batch)) == excess
+    assert excess_batch_runs(_upstream("x"), Load(online, batch)) == excess
 
 
 @pytest.mark.parametrize("excess", [1, 2, 5, 8, 12])
@@ -113,7 +115,7 @@
     """Five entries have eight runs at one upstream, and each entry decides alone. With proportional
     shares, rounded up, each entry cancelled a run although one cancellation was enough."""
     runs = {"a": 1, "b": 1, "c": 3, "d": 1, "e": 2}
-    shares = {entry: share_of_excess(_upstream("x"), excess, runs, entry) for entry in runs}
+    shares = {entry: runs_to_cancel(_upstream("x"), excess, runs, entry) for entry in runs}
     assert sum(shares.values()) == min(excess, 8)
     assert all(shares[entry] <= runs[entry] for entry in runs)
 
@@ -124,6 +126,6 @@
         entry
         for number in range(30)
         for entry in runs
-        if share_of_excess(_upstream(f"x{number}"), 1, runs, entry)
+        if runs_to_cancel(_upstream(f"x{number}"), 1, runs, entry)
     }
     assert first == set(runs)
--- a/packages/core/tests/test_direct_upstream_starts.py
+++ b/packages/core/tests/test_direct_upstream_starts.py
@@ -81,7 +81,7 @@
     Only its new start may be used."""
     known = UpstreamList()
     known.replace([_upstream("x", 1), _upstream("y", 1)], now=0.0)
-    known.regained(now=10_000.0)
+    known.store_recovered(now=10_000.0)
     known.replace([], now=10_000.0)
     assert [each.started for each in known.replace([_upstream("x", 2)], now=10_100.0)] == [2]
     usable = {(each.instance, each.started) for each in known.usable("engine", 10_200.0)}
@@ -102,12 +102,12 @@
 def test_failures_of_an_earlier_start_do_not_count_for_the_new_one() -> None:
     reports = FailureReports()
     earlier, now = identity_of("x", 1), identity_of("x", 2)
-    reports.take("peer", {earlier: 0}, 0.0)
-    reports.note(earlier, 10.0)
-    reports.take("peer", {earlier: 5}, 20.0)
-    assert reports.failing(30.0) == {earlier}
-    reports.take("peer", {now: 1}, 40.0)
-    assert reports.failing(50.0) == {earlier}
+    reports.update_peer("peer", {earlier: 0}, 0.0)
+    reports.record_failure(earlier, 10.0)
+    reports.update_peer("peer", {earlier: 5}, 20.0)
+    assert reports.upstreams_to_avoid(30.0) == {earlier}
+    reports.update_peer("peer", {now: 1}, 40.0)
+    assert reports.upstreams_to_avoid(50.0) == {earlier}
 
 
 def test_mappings_by_instance_hold_the_latest_start_of_each_upstream() -> None:
--- a/packages/core/tests/test_direct_upstreams.py
+++ b/packages/core/tests/test_direct_upstreams.py
@@ -25,10 +25,10 @@
     time, but an upstream whose registration exists and is invalid is not."""
     upstreams = UpstreamList()
     upstreams.replace([_upstream(each) for each in "abc"], 0.0)
-    upstreams.regained(0.0)
+    upstreams.store_recovered(0.0)
     upstreams.replace([], 0.0, unusable=["a"])
     assert {each.instance for each in upstreams.usable("s", 1.0)} == {"b", "c"}
-    upstreams.refuse("b")
+    upstreams.reject_registration("b")
     assert {each.instance for each in upstreams.usable("s", 1.0)} == {"c"}
     upstreams.put(_upstream("a"))
     assert {each.instance for each in upstreams.usable("s", 1.0)} == {"a", "c"}
@@ -45,7 +45,7 @@
 def test_key_shared_by_two_upstreams_identifies_neither(monkeypatch: pytest.MonkeyPatch) -> None:
     """Load hints identify upstreams by four-byte keys. Loads attributed to the wrong upstream would
     make it look full, or free, for as long as both upstreams run."""
-    monkeypatch.setattr(_upstreams, "key_of", lambda identity: len(identity))
+    monkeypatch.setattr(_upstreams, "short_key_of", lambda identity: len(identity))
     upstreams = UpstreamList()
     for instance in ("a", "b", "cc"):
         upstreams.put(_upstream(instance))
@@ -76,11 +76,11 @@
     longer."""
     upstreams = UpstreamList()
     upstreams.replace([_upstream(each) for each in "abc"], 0.0)
-    upstreams.regained(1_000.0)
+    upstreams.store_recovered(1_000.0)
     upstreams.replace([], 1_500.0)
     other = UpstreamList()
     other.replace([_upstream(each) for each in "abc"], 0.0)
-    other.adopt(upstreams.view(1_600.0), 90_000.0)
+    other.apply_snapshot(upstreams.snapshot(1_600.0), 90_000.0)
     lapsed_for = LAPSE_GRACE - 600.0
     assert {each.instance for each in other.usable("s", 90_000.0)} == {"a", "b", "c"}
     assert {each.instance for each in other.usable("s", 89_999.0 + lapsed_for)} == {"a", "b", "c"}
@@ -91,6 +91,6 @@
     upstreams, other = UpstreamList(), UpstreamList()
     upstreams.put(replace(_upstream("a"), started=1))
     other.put(replace(_upstream("a"), started=2))
-    assert other.adopt(upstreams.view(0.0), 0.0) == []
+    assert other.apply_snapshot(upstreams.snapshot(0.0), 0.0) == []
     assert [each.started for each in other.listed()] == [2]
-    assert [each.started for each in upstreams.adopt(other.view(0.0), 0.0)] == [2]
+    assert [each.started for each in upstreams.apply_snapshot(other.snapshot(0.0), 0.0)] == [2]
--- a/packages/node/src/carobspool_node/direct/_declared.py
+++ b/packages/node/src/carobspool_node/direct/_declared.py
@@ -9,7 +9,13 @@
 from absl import logging
 
 from carobspool_core import Clock, Json, Millis, ObjectChange, ObjectStore, StoredObject
-from carobspool_core.direct import Configuration, SharedView, Upstream, UpstreamList, UpstreamsView
+from carobspool_core.direct import (
+    Configuration,
+    Upstream,
+    UpstreamList,
+    UpstreamsSnapshot,
+    ViewVersion,
+)
 from carobspool_core.problems import UnusableRecordError
 from carobspool_node.direct._bad_records import BadRecords, shown
 from carobspool_node.direct._deployment import Deployment
@@ -63,9 +69,9 @@
         self._upstreams = UpstreamList()
         self._upstreams_lock = threading.Lock()
         self._upstreams_listed = False
-        self._configuration_view = SharedView()
-        self._upstreams_view = SharedView()
-        self._starts_view = SharedView()
+        self._configuration_view = ViewVersion()
+        self._upstreams_view = ViewVersion()
+        self._starts_view = ViewVersion()
         self._bad_upstreams = BadRecords(clock, telemetry, "registration", "upstream")
         self._unusable: dict[str, tuple[int, str]] = {}
         self._bad_configurations = BadRecords(clock, telemetry, "configuration", "key")
@@ -157,11 +163,11 @@
         """Return the store revision and the value of the configuration in force."""
         return self._stored_configuration
 
-    def upstreams_view(self) -> tuple[int, UpstreamsView]:
+    def upstreams_view(self) -> tuple[int, UpstreamsSnapshot]:
         """Return the known store revision and the upstreams, to send to another process."""
         with self._upstreams_lock:
             revision = self._followers[UPSTREAMS].revision
-            return revision, self._upstreams.view(self._clock.now())
+            return revision, self._upstreams.snapshot(self._clock.now())
 
     def adopt_configuration(self, revision: int, value: Json) -> bool:
         """Apply another process's configuration if it is newer; return whether it was applied."""
@@ -170,13 +176,13 @@
         self._apply_configuration(StoredObject(key=key, version=revision, value=value))
         return self._configuration_view.version > before
 
-    def adopt_upstreams(self, revision: int, view: UpstreamsView) -> bool:
+    def adopt_upstreams(self, revision: int, view: UpstreamsSnapshot) -> bool:
         """Apply another process's upstreams if its revision is newer; return whether it was."""
         restarted: list[Upstream] = []
 
         def apply() -> None:
             with self._upstreams_lock:
-                restarted.extend(self._upstreams.adopt(view, self._clock.now()))
+                restarted.extend(self._upstreams.apply_snapshot(view, self._clock.now()))
                 self._update_digests()
             self._upstreams_listed = True
 
@@ -192,7 +198,7 @@
     def compare(self, versions: Mapping[str, int]) -> None:
         """Refresh the views that differ from those of a process with these ``versions``."""
         now = self._clock.now()
-        if self._configuration_view.is_behind(versions.get(CONFIGURATION, 0), now):
+        if self._configuration_view.should_reread_for_version(versions.get(CONFIGURATION, 0), now):
             self._followers[CONFIGURATION].refresh()
         if 0 < versions.get(_REVISION, 0) < self._followers[UPSTREAMS].revision:
             # The other process is behind.
@@ -200,7 +206,7 @@
         # Processes of the previous version send no digest of starts.
         for name, view in ((UPSTREAMS, self._upstreams_view), (_STARTS, self._starts_view)):
             digest = versions.get(name, 0)
-            if digest and view.differs(digest, now):
+            if digest and view.should_reread_for_digest(digest, now):
                 self._followers[UPSTREAMS].refresh()
 
     def refresh(self) -> None:
@@ -268,7 +274,7 @@
             elif isinstance(registered, Upstream):
                 restarted = self._upstreams.put(registered)
             else:
-                self._upstreams.refuse(name)
+                self._upstreams.reject_registration(name)
             self._update_digests()
         if registered is not None and not isinstance(registered, Upstream):
             self._bad_upstreams.note(name, registered)
@@ -315,4 +321,4 @@
 
     def _on_store_regained(self) -> None:
         with self._upstreams_lock:
-            self._upstreams.regained(self._clock.now())
+            self._upstreams.store_recovered(self._clock.now())
--- a/packages/node/src/carobspool_node/direct/_entry.py
+++ b/packages/node/src/carobspool_node/direct/_entry.py
@@ -145,7 +145,7 @@
             self._telemetry,
             configuration=lambda: self._declared.configuration,
             usable=self._neighbourhood.near,
-            doubt_until=lambda: self._peers.doubt_until,
+            ownership_uncertain_until=lambda: self._peers.ownership_uncertain_until,
         )
         bad_records = BadRecords(self._clock, self._telemetry, "job_record", "key")
         records = JobRecords(self._store, settings.value_limit, bad_records)
@@ -229,7 +229,7 @@
         self._reload.listen()
         serve_metrics((settings.address, settings.metrics_port), self._telemetry, self._clock)
         callers = self._start_listeners()
-        self._loads.on_own_change(self._peers.loads_changed)
+        self._loads.set_own_change_callback(self._peers.loads_changed)
         self._peers.start(
             PeerEvents(
                 loads=self._adopt_peer_loads,
@@ -296,7 +296,7 @@
         knows_starts: bool,
     ) -> None:
         upstreams = () if knows_starts else self._declared.listed()
-        self._loads.take_hint(peer, loads, upstreams, failures, knows_starts=knows_starts)
+        self._loads.apply_hint(peer, loads, upstreams, failures, knows_starts=knows_starts)
 
     def _directory(self) -> OrganisationDirectory | None:
         configuration = self._declared.configuration
@@ -316,7 +316,7 @@
             ended,
         )
         self._telemetry.count("upstream_restarts", service=upstream.service)
-        self._loads.restarted(upstream)
+        self._loads.record_restart(upstream)
 
     def _poll_store(self) -> None:
         """Read the store periodically on behalf of all entries, in case a watch misses a change."""
@@ -359,10 +359,10 @@
 
     def _clean_up(self) -> None:
         identities = self._declared.identities()
-        self._connections.forget(identities)
-        self._loads.forget(identities)
+        self._connections.retain_only(identities)
+        self._loads.retain_only(identities)
         self._quota.tidy()
-        self._peer_caller.forget({peer.identity for peer in self._peers.live()})
+        self._peer_caller.retain_only({peer.identity for peer in self._peers.live()})
 
     def _caller_limits(self) -> CallerLimits:
         configuration = self._declared.configuration
--- a/packages/node/src/carobspool_node/direct/_forward.py
+++ b/packages/node/src/carobspool_node/direct/_forward.py
@@ -236,7 +236,7 @@
                 self._call_deadline(state),
                 idle_deadline=self._idle_deadline(state, upstream, started),
             )
-            self._loads.heard(upstream)
+            self._loads.record_activity(upstream)
             return self._relay_answer(state, upstream, call, head)
         except CallFailedError as error:
             self._record_failure(state, upstream, str(error), sent=error.sent)
@@ -249,7 +249,7 @@
             state.runs += 1
             if self._clock.now() >= state.deadline - MIN_CALL_TIME:
                 raise
-            self._loads.suspect(upstream)
+            self._loads.record_failure(upstream)
             state.last_failure = "no answer in the time of one try"
             return False
         except RunCancelledError as error:
@@ -257,9 +257,9 @@
             return False
         except CallerGoneError:
             waited = self._clock.now() - started
-            silent = self._loads.heard_at(upstream) <= started
+            silent = self._loads.last_activity_at(upstream) <= started
             if not state.streaming and silent and waited > HANG_THRESHOLD:
-                self._loads.suspect(upstream)
+                self._loads.record_failure(upstream)
             raise
         finally:
             call.close()
@@ -267,7 +267,7 @@
     def _record_failure(
         self, state: RequestState, upstream: Upstream, reason: str, *, sent: bool
     ) -> None:
-        self._loads.suspect(upstream)
+        self._loads.record_failure(upstream)
         state.last_failure = reason
         self._telemetry.count("upstream_failures", service=upstream.service)
         logging.info(
@@ -301,7 +301,7 @@
         def idle_deadline() -> Millis:
             return failover_at(
                 started=started,
-                last_activity_at=self._loads.heard_at(upstream),
+                last_activity_at=self._loads.last_activity_at(upstream),
                 silence=STREAM_IDLE_TIMEOUT,
                 mean_duration=mean,
             )
@@ -330,7 +330,7 @@
             head.status >= HTTPStatus.INTERNAL_SERVER_ERROR
             and head.status != DEADLINE_EXCEEDED_STATUS
         ):
-            self._loads.suspect(upstream)
+            self._loads.record_failure(upstream)
         if self._should_retry_answer(state, head):
             state.last_failure = f"status {head.status}"
             return False
@@ -354,7 +354,7 @@
         splitter = EventSplitter()
         silence = STREAM_IDLE_TIMEOUT if state.route.resumable else None
         for data in call.body(state.deadline, silence=silence):
-            self._loads.heard(upstream)
+            self._loads.record_activity(upstream)
             pieces = []
             for event in splitter.feed(data):
                 if state.last_event is not None and event.event_id is not None:
--- a/packages/node/src/carobspool_node/direct/_in_flight.py
+++ b/packages/node/src/carobspool_node/direct/_in_flight.py
@@ -25,18 +25,19 @@
     cancellation: Cancellation = field(default_factory=Cancellation)
 
 
-class OwnRequests(Struct, kw_only=True):
+class UpstreamInFlight(Struct, kw_only=True):
     """Work of this entry in flight at one upstream.
 
     Attributes:
         upstream: The upstream.
-        heard: When the upstream last sent anything, or when the first of these requests was sent.
+        last_activity_at: When the upstream last sent anything, or when the first of these requests
+            was sent.
         online: Number of online requests.
         runs: Batch runs.
     """
 
     upstream: Upstream
-    heard: Millis
+    last_activity_at: Millis
     online: int = 0
     runs: list[BatchRun] = field(default_factory=list)
 
@@ -60,6 +61,6 @@
     load: Load
 
     @property
-    def found_free(self) -> bool:
+    def had_free_slot(self) -> bool:
         """Whether a slot seemed free, so that the request's duration includes no queueing."""
         return self.load.total < self.upstream.slots
--- a/packages/node/src/carobspool_node/direct/_item_run.py
+++ b/packages/node/src/carobspool_node/direct/_item_run.py
@@ -86,13 +86,13 @@
         now = self._clock.now()
         try:
             head = call.start(self._request(job, work, upstream), now + HEAD_TIMEOUT)
-            self._loads.heard(upstream)
+            self._loads.record_activity(upstream)
             return self._read_response(call, head, work, upstream)
         except CallFailedError as error:
-            self._loads.suspect(upstream)
+            self._loads.record_failure(upstream)
             return RunOutcome(end=RunEnd.BROKEN, detail=str(error))
         except DeadlinePassedError:
-            self._loads.suspect(upstream)
+            self._loads.record_failure(upstream)
             return RunOutcome(end=RunEnd.BROKEN, detail="deadline exceeded")
         except RunCancelledError:
             return RunOutcome(end=RunEnd.INTERRUPTED, detail=run.cancellation.reason)
@@ -113,7 +113,7 @@
             return _refusal_outcome(head.status)
         splitter = EventSplitter()
         for data in call.body(deadline, silence=MAX_EVENT_GAP):
-            self._loads.heard(upstream)
+            self._loads.record_activity(upstream)
             for event in splitter.feed(data):
                 if event.event_id is None:
                     continue
--- a/packages/node/src/carobspool_node/direct/_job_runner.py
+++ b/packages/node/src/carobspool_node/direct/_job_runner.py
@@ -58,7 +58,7 @@
         telemetry: Counts runs, verifications and changes of owners; measures runs and commits.
         configuration: Returns the current routes, ``None`` before they are known.
         usable: Returns the upstreams of a service that this entry may use.
-        doubt_until: Returns until when other entries may have taken over or ended jobs of this one.
+        ownership_uncertain_until: Returns until when other entries may have taken over or ended jobs of this one.
     """
 
     def __init__(
@@ -70,7 +70,7 @@
         *,
         configuration: Callable[[], Configuration | None],
         usable: Callable[[str], Sequence[Upstream]],
-        doubt_until: Callable[[], Millis],
+        ownership_uncertain_until: Callable[[], Millis],
     ) -> None:
         self._clock = clock
         self._loads = loads
@@ -78,7 +78,7 @@
         self._telemetry = telemetry
         self._configuration = configuration
         self._usable = usable
-        self._doubt_until = doubt_until
+        self._ownership_uncertain_until = ownership_uncertain_until
         self._lock = threading.Lock()
         self._jobs: dict[str, OwnedJob] = {}
         self._wake = threading.Event()
@@ -102,7 +102,7 @@
 
     def start(self) -> None:
         """Start the scheduling loop."""
-        self._loads.on_room(self._wake.set)
+        self._loads.set_departure_callback(self._wake.set)
         threading.Thread(target=self._loop, name="jobs", daemon=True).start()
 
     def stop(self, timeout: Millis) -> None:
@@ -278,7 +278,7 @@
     def _is_ahead_of_peers(self, waiting: WaitingItem, upstreams: Sequence[Upstream]) -> bool:
         """Whether there is capacity for an item beyond what more urgent items of peers need."""
         start_order = waiting.start_order_at(wall_millis())
-        free_slots = self._loads.room_for_batch(upstreams, urgency=waiting.urgency)
+        free_slots = self._loads.free_batch_slots(upstreams, urgency=waiting.urgency)
         with self._backlog_lock:
             return self._backlog.may_start(
                 start_order, free_slots=free_slots, now=self._clock.now()
@@ -297,7 +297,10 @@
         if job.releasing:
             return False
         if (
-            job.proof.is_valid(doubt_until=self._doubt_until(), max_age=START_PROOF_MAX_AGE)
+            job.proof.is_valid(
+                ownership_uncertain_until=self._ownership_uncertain_until(),
+                max_age=START_PROOF_MAX_AGE,
+            )
             or job.proof.is_in_grace
         ):
             return not job.lost
--- a/packages/node/src/carobspool_node/direct/_jobs.py
+++ b/packages/node/src/carobspool_node/direct/_jobs.py
@@ -232,7 +232,10 @@
         return Outcome.UNKNOWN
 
     def _is_proven(self, job: OwnedJob) -> bool:
-        return job.proof.is_valid(doubt_until=self._peers.doubt_until, max_age=READ_PROOF_MAX_AGE)
+        return job.proof.is_valid(
+            ownership_uncertain_until=self._peers.ownership_uncertain_until,
+            max_age=READ_PROOF_MAX_AGE,
+        )
 
     def _is_within_quota(self, route: Route, organisation: str | None, tokens: int) -> bool:
         peers = self._peers.live()
--- a/packages/node/src/carobspool_node/direct/_load_hint.py
+++ b/packages/node/src/carobspool_node/direct/_load_hint.py
@@ -15,7 +15,7 @@
 from msgspec import Struct, field
 
 from carobspool_core import Json
-from carobspool_core.direct import Load, WaitingGroup, key_of
+from carobspool_core.direct import Load, WaitingGroup, short_key_of
 from carobspool_core.problems import Problem, UnusableRecordError
 from carobspool_node.organisations import pack_counts, unpack_counts
 
@@ -62,7 +62,7 @@
     """Pack loads, which are given by the upstream's identity, into bytes."""
     return b"".join(
         _LOAD_STRUCT.pack(
-            key_of(identity), min(load.online, _MAX_UINT16), min(load.batch, _MAX_UINT16)
+            short_key_of(identity), min(load.online, _MAX_UINT16), min(load.batch, _MAX_UINT16)
         )
         for identity, load in loads.items()
     )
--- a/packages/node/src/carobspool_node/direct/_loads.py
+++ b/packages/node/src/carobspool_node/direct/_loads.py
@@ -20,12 +20,12 @@
     by_identity,
     choose_batch_upstream,
     choose_upstream,
-    excess_of_batch,
+    excess_batch_runs,
+    free_batch_slots,
     queue_limit,
-    room_for_batch,
-    share_of_excess,
+    runs_to_cancel,
 )
-from carobspool_node.direct._in_flight import BatchRun, OwnRequests, Placement
+from carobspool_node.direct._in_flight import BatchRun, Placement, UpstreamInFlight
 from carobspool_node.direct._suspects import Suspects
 
 UPSTREAM_SILENCE_LIMIT: Millis = 600.0
@@ -50,18 +50,18 @@
         self._failure_domain = failure_domain
         self._name = name
         self._lock = threading.Lock()
-        self._own: dict[str, OwnRequests] = {}
+        self._own: dict[str, UpstreamInFlight] = {}
         self._fleet = FleetLoads()
         self._suspects = Suspects()
         self._durations: dict[str, MeanDuration] = {}
         self._on_change: Callable[[], None] = lambda: None
         self._on_own_change: Callable[[], None] = lambda: None
 
-    def on_room(self, callback: Callable[[], None]) -> None:
+    def set_departure_callback(self, callback: Callable[[], None]) -> None:
         """Set the callback for a request of this entry or of a peer that has left an upstream."""
         self._on_change = callback
 
-    def on_own_change(self, callback: Callable[[], None]) -> None:
+    def set_own_change_callback(self, callback: Callable[[], None]) -> None:
         """Set the callback for the start or end of a request or batch item of this entry."""
         self._on_own_change = callback
 
@@ -88,7 +88,7 @@
             The placement, or ``None`` when no upstream has room for the request.
         """
 
-        def queue(upstream: Upstream) -> int:
+        def queue_limit_of(upstream: Upstream) -> int:
             return queue_limit(
                 slots=upstream.slots,
                 mean_duration=self._mean_duration(upstream.service).value,
@@ -108,7 +108,7 @@
                     candidates,
                     loads,
                     failure_domain=self._failure_domain,
-                    queue=queue,
+                    queue_limit_of=queue_limit_of,
                     suspects=suspects,
                 )
                 if candidate is not None and (chosen is None or candidate.identity not in suspects):
@@ -133,7 +133,7 @@
             loads = self._total_loads(now)
             loads = {each.identity: loads.get(each.identity, NO_LOAD) for each in upstreams}
             suspects = self._current_suspects(now)
-            ages = list(self._fleet.ages(now))
+            ages = list(self._fleet.report_ages(now))
             mean = self._mean_duration(upstreams[0].service).value if upstreams else 0.0
         shown = []
         for each in upstreams:
@@ -157,7 +157,7 @@
             own.online -= 1
             self._fleet.add_own(upstream.identity, online=-1)
             self._drop_if_idle(own)
-            if completed and placement.found_free:
+            if completed and placement.had_free_slot:
                 self._mean_duration(upstream.service).add(self._clock.now() - placement.started)
         self._on_own_change()
         self._on_change()
@@ -191,13 +191,13 @@
         self._on_own_change()
         return chosen, run
 
-    def room_for_batch(self, upstreams: Sequence[Upstream], *, urgency: BatchUrgency) -> int:
+    def free_batch_slots(self, upstreams: Sequence[Upstream], *, urgency: BatchUrgency) -> int:
         """Return how many batch items of an urgency could start now."""
         now = self._clock.now()
         with self._lock:
             loads = self._total_loads(now)
             suspects = self._current_suspects(now)
-            return room_for_batch(upstreams, loads, urgency=urgency, suspects=suspects)
+            return free_batch_slots(upstreams, loads, urgency=urgency, suspects=suspects)
 
     def end_batch(self, upstream: Upstream, run: BatchRun) -> None:
         """Count the end of a batch item's run at an upstream."""
@@ -214,7 +214,7 @@
         with self._lock:
             return self._mean_duration(service).value
 
-    def suspect(self, upstream: Upstream) -> None:
+    def record_failure(self, upstream: Upstream) -> None:
         """Record a failure at an upstream, which is then avoided for a while.
 
         Hints to the other entries report the failure too.
@@ -222,22 +222,22 @@
         with self._lock:
             self._suspects.record_failure(upstream, self._clock.now())
 
-    def heard(self, upstream: Upstream) -> None:
+    def record_activity(self, upstream: Upstream) -> None:
         """Record that an upstream has just sent data to this entry."""
         own = self._own.get(upstream.identity)
         if own is not None:
-            own.heard = self._clock.now()
+            own.last_activity_at = self._clock.now()
 
-    def heard_at(self, upstream: Upstream) -> Millis:
+    def last_activity_at(self, upstream: Upstream) -> Millis:
         """Return when an upstream last sent data to this entry.
 
         The time is that of the first request in flight if no data came since, and 0 when this
         entry has nothing in flight at the upstream.
         """
         own = self._own.get(upstream.identity)
-        return own.heard if own is not None else 0.0
+        return own.last_activity_at if own is not None else 0.0
 
-    def take_hint(
+    def apply_hint(
         self,
         peer: str,
         loads: Mapping[str, Load],
@@ -262,7 +262,7 @@
         with self._lock:
             if not knows_starts:
                 loads = self._by_current_identity(loads, upstreams)
-            frees_room = self._fleet.take(peer, loads, now)
+            frees_room = self._fleet.update_peer(peer, loads, now)
             if failures is not None:
                 self._suspects.merge_peer_failures(peer, failures, now)
             for identity in loads:
@@ -274,7 +274,7 @@
         if frees_room:
             self._on_change()
 
-    def restarted(self, upstream: Upstream) -> None:
+    def record_restart(self, upstream: Upstream) -> None:
         """Record that an upstream has restarted, which leaves its slots free."""
         with self._lock:
             self._suspects.record_restart(upstream)
@@ -292,7 +292,7 @@
         with self._lock:
             return self._suspects.own_failures()
 
-    def forget(self, identities: set[str]) -> None:
+    def retain_only(self, identities: set[str]) -> None:
         """Drop expired loads, and the failures of upstreams that are not in ``identities``."""
         now = self._clock.now()
         with self._lock:
@@ -319,14 +319,14 @@
     def _mean_duration(self, service: str) -> MeanDuration:
         return self._durations.setdefault(service, MeanDuration())
 
-    def _own_requests(self, upstream: Upstream, now: Millis) -> OwnRequests:
+    def _own_requests(self, upstream: Upstream, now: Millis) -> UpstreamInFlight:
         own = self._own.get(upstream.identity)
         if own is None:
-            own = OwnRequests(upstream=upstream, heard=now)
+            own = UpstreamInFlight(upstream=upstream, last_activity_at=now)
             self._own[upstream.identity] = own
         return own
 
-    def _drop_if_idle(self, own: OwnRequests) -> None:
+    def _drop_if_idle(self, own: UpstreamInFlight) -> None:
         if not own.total:
             del self._own[own.upstream.identity]
 
@@ -346,15 +346,15 @@
             return []
         running = [run for run in own.runs if not run.cancellation.cancelled]
         load = self._total_loads(now).get(upstream.identity, NO_LOAD)
-        excess = excess_of_batch(
+        excess = excess_batch_runs(
             upstream, Load(load.online, load.batch - (len(own.runs) - len(running)))
         )
         count = min(excess, len(running))
         if count and not own_first:
-            peers = self._fleet.at(upstream.identity)
+            peers = self._fleet.loads_by_peer(upstream.identity)
             runs = {peer: theirs.batch for peer, theirs in peers.items()}
             runs[self._name] = len(running)
-            count = share_of_excess(upstream, excess, runs, self._name)
+            count = runs_to_cancel(upstream, excess, runs, self._name)
         if not count:
             return []
         # Items that are already late are preempted first, then those with the latest due time. If
@@ -365,7 +365,7 @@
     def _current_suspects(self, now: Millis, *, first_try: bool = True) -> frozenset[str]:
         suspects = self._suspects.avoided(now, first_try=first_try)
         for identity, own in self._own.items():
-            if now - own.heard > UPSTREAM_SILENCE_LIMIT:
+            if now - own.last_activity_at > UPSTREAM_SILENCE_LIMIT:
                 suspects.add(identity)
         return frozenset(suspects)
 
--- a/packages/node/src/carobspool_node/direct/_membership.py
+++ b/packages/node/src/carobspool_node/direct/_membership.py
@@ -10,7 +10,7 @@
 
 from carobspool_core import Clock, Millis, ObjectChange, ObjectStore, StoredObject, StoreFault
 from carobspool_core import owner as rendezvous_owner
-from carobspool_core.direct import SharedView, WatchCandidate, should_watch_store
+from carobspool_core.direct import ViewVersion, WatchCandidate, should_watch_store
 from carobspool_core.problems import UnusableRecordError
 from carobspool_core.records import read_record
 from carobspool_node.direct._bad_records import BadRecords
@@ -68,7 +68,9 @@
         self._address = address
         self._leaving = leaving
         self._store_ok = store_ok
-        self._names_view = SharedView(change_time=MAX_DISAGREEMENT, read_again=REREAD_INTERVAL)
+        self._names_view = ViewVersion(
+            propagation_time=MAX_DISAGREEMENT, reread_interval=REREAD_INTERVAL
+        )
         self._bad_entries = BadRecords(clock, telemetry, "entry", "entry")
         self._entries = Follower(
             store,
@@ -92,7 +94,7 @@
         """Read the list again if other processes have known other entries for too long."""
         self._names_view.version = self._peers.names_digest()
         digest = versions.get(NAMES_VERSION, 0)
-        if digest and self._names_view.differs(digest, self._clock.now()):
+        if digest and self._names_view.should_reread_for_digest(digest, self._clock.now()):
             self._entries.refresh()
 
     def follows_store(self) -> bool:
--- a/packages/node/src/carobspool_node/direct/_ownership_proof.py
+++ b/packages/node/src/carobspool_node/direct/_ownership_proof.py
@@ -75,15 +75,15 @@
         """Record that a peer reports to have ended the job in the store."""
         self._end_reported_at = self._clock.now()
 
-    def is_valid(self, *, doubt_until: Millis, max_age: Millis) -> bool:
+    def is_valid(self, *, ownership_uncertain_until: Millis, max_age: Millis) -> bool:
         """Whether the proof rules out a takeover or an end by another entry.
 
         Args:
-            doubt_until: Until when other entries may have taken over or ended the job. A proof from
+            ownership_uncertain_until: Until when other entries may have taken over or ended the job. A proof from
                 before that time stays invalid however long ago it was: the job may have been
                 running at another entry since.
-            max_age: Age up to which a proof is accepted regardless of ``doubt_until``.
+            max_age: Age up to which a proof is accepted regardless of ``ownership_uncertain_until``.
         """
         if self.is_end_unverified:
             return False
-        return self._requested_at >= doubt_until or self.age < max_age
+        return self._requested_at >= ownership_uncertain_until or self.age < max_age
--- a/packages/node/src/carobspool_node/direct/_peer_calls.py
+++ b/packages/node/src/carobspool_node/direct/_peer_calls.py
@@ -73,6 +73,6 @@
         finally:
             call.close()
 
-    def forget(self, identities: set[str]) -> None:
+    def retain_only(self, identities: set[str]) -> None:
         """Close the connections to all peers but ``identities``, and those idle for too long."""
-        self._connections.forget(identities)
+        self._connections.retain_only(identities)
--- a/packages/node/src/carobspool_node/direct/_peer_table.py
+++ b/packages/node/src/carobspool_node/direct/_peer_table.py
@@ -73,9 +73,9 @@
         self._liveness = Liveness(clock.now())
 
     @property
-    def doubt_until(self) -> Millis:
+    def ownership_uncertain_until(self) -> Millis:
         """Time until which peers may have acted on this entry's jobs without its knowledge."""
-        return self._liveness.doubt_until
+        return self._liveness.ownership_uncertain_until
 
     def set_address(self, name: str, address: tuple[str, int] | None) -> None:
         """Set a peer's address as the store lists it, or remove it with ``None``."""
@@ -167,7 +167,7 @@
             silence = None
             if peer is not None and peer.incarnation == announcement.incarnation:
                 silence = now - peer.heard
-            self._liveness.heard(silence, now)
+            self._liveness.record_hint(silence, now)
             if peer is None or peer.incarnation != announcement.incarnation:
                 if peer is not None and peer.open_jobs:
                     lost = peer
@@ -197,7 +197,7 @@
             if announcement.open_jobs is not None or peer.reads_load_hints:
                 peer.waiting = announcement.waiting
             if self._name in announcement.silent:
-                self._liveness.reported_silent(now)
+                self._liveness.record_reported_silent(now)
             if announcement.released is None and peer.leaving and peer.open_jobs:
                 # An entry of the previous version releases all its jobs as soon as it leaves.
                 lost = peer
@@ -231,7 +231,7 @@
         now = self._clock.now()
         with self._lock:
             peer = self._peers[hint.name]
-            self._liveness.heard(now - peer.heard, now)
+            self._liveness.record_hint(now - peer.heard, now)
             peer.heard = now
         return True
 
@@ -244,7 +244,7 @@
         lost = []
         gone = []
         with self._lock:
-            gap = self._liveness.look(now)
+            gap = self._liveness.record_tick(now)
             if gap:
                 # Hints that arrived during the pause are still unread, so no peer is declared dead.
                 for peer in self._peers.values():
@@ -253,7 +253,9 @@
                 return SilentPeers()
             for peer in list(self._peers.values()):
                 silence = now - peer.heard
-                found = self._liveness.judge(peer.identity, silence, leaving=peer.leaving, now=now)
+                found = self._liveness.evaluate_peer(
+                    peer.identity, silence, leaving=peer.leaving, now=now
+                )
                 if found.is_lost and peer.open_jobs:
                     lost.append(peer)
                     self._peers[peer.name] = _without_jobs(peer)
--- a/packages/node/src/carobspool_node/direct/_peers.py
+++ b/packages/node/src/carobspool_node/direct/_peers.py
@@ -20,7 +20,7 @@
 from msgspec import Struct
 
 from carobspool_core import Clock, Millis
-from carobspool_core.direct import Load, LoadPace, WaitingGroup
+from carobspool_core.direct import Load, LoadSendLimiter, WaitingGroup
 from carobspool_core.organisations import Neighbour
 from carobspool_node.direct._announcement import Sender
 from carobspool_node.direct._bad_records import BadRecords
@@ -114,9 +114,9 @@
         return f"{self._sender.name}#{self._sender.incarnation}"
 
     @property
-    def doubt_until(self) -> Millis:
+    def ownership_uncertain_until(self) -> Millis:
         """Time until which peers may have acted on this entry's jobs without its knowledge."""
-        return self._table.doubt_until
+        return self._table.ownership_uncertain_until
 
     def start(self, events: PeerEvents) -> None:
         """Start to send and receive hints."""
@@ -213,7 +213,7 @@
     def _send_loop(self) -> None:
         announced_state: Hashable = None
         sent_loads: Mapping[str, Load] = {}
-        pace = LoadPace()
+        pace = LoadSendLimiter()
         heartbeat_at: Millis = 0.0
         check_at: Millis = 0.0
         while not self._stopped.is_set():
@@ -237,11 +237,11 @@
                     targets = self._table.targets()
                     sharers = self._own.shares_upstreams()
                     recipients = len(targets.load_recipients(sharers))
-                    pause = pace.wait(now, peers=recipients)
+                    pause = pace.delay_before_send(now, peers=recipients)
                     if pause <= 0.0:
                         sent_loads = loads
                         self._send_loads(loads, targets, sharers, is_heartbeat=False)
-                        pace.sent(now, peers=recipients)
+                        pace.record_send(now, peers=recipients)
                         pause = CHECK_INTERVAL
                 pause = min(pause, max(0.0, check_at - self._clock.now()))
             except Exception:  # noqa: BLE001
--- a/packages/node/src/carobspool_node/direct/_suspects.py
+++ b/packages/node/src/carobspool_node/direct/_suspects.py
@@ -34,12 +34,12 @@
             # Entries of the previous version would attribute the failure to the new start.
             return
         self._suspect_until[upstream.identity] = now + SUSPECT_TIME
-        self._failures.note(upstream.identity, now)
+        self._failures.record_failure(upstream.identity, now)
         self._log_avoided_changes(now)
 
     def merge_peer_failures(self, peer: str, failures: Mapping[str, int], now: Millis) -> None:
         """Merge the failures that a peer has counted since its start."""
-        self._failures.take(peer, failures, now)
+        self._failures.update_peer(peer, failures, now)
         self._log_avoided_changes(now)
 
     def record_restart(self, upstream: Upstream) -> None:
@@ -52,7 +52,7 @@
 
     def own_failures(self) -> dict[str, int]:
         """Return the failures that this entry has seen, by the upstream's identity."""
-        return self._failures.own()
+        return self._failures.own_counts()
 
     def avoided(self, now: Millis, *, first_try: bool) -> set[str]:
         """Return the identities of the upstreams to avoid.
@@ -61,7 +61,7 @@
             now: Current time.
             first_try: Whether the request to place is on its first attempt.
         """
-        found = self._failures.failing(now)
+        found = self._failures.upstreams_to_avoid(now)
         probation = 0.0 if first_try else PROBATION_TIME
         found.update(
             identity for identity, until in self._suspect_until.items() if now < until + probation
@@ -75,11 +75,11 @@
         }
         known = latest_starts(identities)
         self._restarts = {key: at for key, at in self._restarts.items() if key in known}
-        self._failures.keep_only(identities, peers)
+        self._failures.retain_only(identities, peers)
         self._log_avoided_changes(now)
 
     def _log_avoided_changes(self, now: Millis) -> None:
-        failing = self._failures.failing(now)
+        failing = self._failures.upstreams_to_avoid(now)
         for identity in failing - self._logged_as_avoided:
             logging.info("event=upstream_avoided upstream=%s reason='recent failures'", identity)
         for identity in self._logged_as_avoided - failing:
--- a/packages/node/src/carobspool_node/direct/_upstream_calls.py
+++ b/packages/node/src/carobspool_node/direct/_upstream_calls.py
@@ -110,7 +110,7 @@
                 return
         channel.close()
 
-    def forget(self, identities: set[str]) -> None:
+    def retain_only(self, identities: set[str]) -> None:
         """Close idle connections to upstreams not in ``identities``, and expired ones."""
         dropped: list[Channel] = []
         with self._lock:
--- a/packages/node/src/carobspool_node/direct/_view_exchange.py
+++ b/packages/node/src/carobspool_node/direct/_view_exchange.py
@@ -16,7 +16,7 @@
 from absl import logging
 
 from carobspool_core import Clock, Json, Millis
-from carobspool_core.direct import Upstream, UpstreamsView
+from carobspool_core.direct import Upstream, UpstreamsSnapshot
 from carobspool_core.problems import UnusableRecordError
 from carobspool_core.records import JSON_VALUE, Bounds, Record, read_record
 from carobspool_node.direct._declared import CONFIGURATION, Declared
@@ -221,7 +221,7 @@
             found = read_record(_ConfigurationAnswer, answer)
             return self._declared.adopt_configuration(found.revision, found.value)
         upstreams = read_record(_UpstreamsAnswer, answer)
-        view = UpstreamsView(
+        view = UpstreamsSnapshot(
             listed=[_upstream_from_record(each) for each in upstreams.listed],
             lapsed=[(_upstream_from_record(each.upstream), each.left) for each in upstreams.lapsed],
         )
--- a/packages/node/tests/test_direct_job_runner.py
+++ b/packages/node/tests/test_direct_job_runner.py
@@ -93,7 +93,7 @@
         Telemetry(),
         configuration=lambda: configuration,
         usable=lambda service: [ENGINE],
-        doubt_until=lambda: 0.0,
+        ownership_uncertain_until=lambda: 0.0,
     )
 
     def make(job: JobInput, stored: StoredProgress) -> OwnedJob:
--- a/packages/node/tests/test_direct_loads.py
+++ b/packages/node/tests/test_direct_loads.py
@@ -41,15 +41,15 @@
     upstreams = [_upstream("bad"), _upstream("good")]
     with caplog.at_level(logging.INFO, logger="absl"):
         for peer in ("e2", "e3"):
-            table.take_hint(peer, {}, upstreams, {})
-            table.take_hint(peer, {}, upstreams, {"bad": 1})
-            table.take_hint(peer, {}, upstreams, {"bad": 1})
+            table.apply_hint(peer, {}, upstreams, {})
+            table.apply_hint(peer, {}, upstreams, {"bad": 1})
+            table.apply_hint(peer, {}, upstreams, {"bad": 1})
         for _ in range(6):
             placed = table.place_online(upstreams, target_latency=300.0, is_retry=False)
             assert placed is not None
             assert placed.upstream.instance == "good"
         clock.at = 2_500.0
-        table.forget({"bad", "good"})
+        table.retain_only({"bad", "good"})
     lines = [record.getMessage() for record in caplog.records]
     assert [line.split()[0] for line in lines] == [
         "event=upstream_avoided",
@@ -65,21 +65,21 @@
     clock = _Clock()
     table = LoadTable(clock, "z", name="e1")
     earlier, restarted = _upstream("x", 1), _upstream("x", 2)
-    table.take_hint("e2", {}, [earlier], {earlier.identity: 0})
-    table.take_hint("e2", {earlier.identity: Load(400, 0)}, [earlier], {earlier.identity: 9})
-    table.suspect(earlier)
+    table.apply_hint("e2", {}, [earlier], {earlier.identity: 0})
+    table.apply_hint("e2", {earlier.identity: Load(400, 0)}, [earlier], {earlier.identity: 9})
+    table.record_failure(earlier)
     placed = table.place_online([earlier], target_latency=300.0, is_retry=False)
     assert placed is None
     run = table.place_batch([restarted], urgency=BatchUrgency.ORDINARY, due=0.0)
     assert run is not None
     table.end_batch(*run)
-    table.restarted(restarted)
-    table.suspect(earlier)
+    table.record_restart(restarted)
+    table.record_failure(earlier)
     placed = table.place_online([restarted], target_latency=300.0, is_retry=False)
     assert placed is not None
     assert placed.load == Load()
     assert table.own_loads() == {restarted.identity: Load(1, 0)}
-    table.forget({restarted.identity})
+    table.retain_only({restarted.identity})
     assert table.own_failures() == {}
 
 
@@ -92,11 +92,11 @@
     first, second, other = _upstream("x", 1), _upstream("x", 2), _upstream("y")
     loads = {"x": Load(400, 0), "y": Load(1, 0)}
     for failures in ({"x": 0, "y": 0}, {"x": 5, "y": 5}):
-        table.take_hint("e2", loads, [first, other], failures, knows_starts=False)
+        table.apply_hint("e2", loads, [first, other], failures, knows_starts=False)
     assert table.place_online([first], target_latency=300.0, is_retry=False) is None
     assert "x:400+0/8 y!:1+0/8" in table.describe([first, other]).replace(",", " ")
-    table.restarted(second)
-    table.take_hint("e2", loads, [second, other], {}, knows_starts=False)
+    table.record_restart(second)
+    table.apply_hint("e2", loads, [second, other], {}, knows_starts=False)
     assert "x:0+0/8 y!:1+0/8" in table.describe([second, other]).replace(",", " ")
 
 
@@ -113,13 +113,13 @@
         return placed.upstream.instance
 
     assert place() == "near"
-    table.suspect(near)
+    table.record_failure(near)
     assert place() == "far"
     clock.at = 5_000.0
     assert place() == "near"
-    table.take_hint("e2", {"near": Load(400, 0)}, (), {})
+    table.apply_hint("e2", {"near": Load(400, 0)}, (), {})
     assert place() == "far"
-    table.take_hint("e2", {"near": Load(400, 0), "far": Load(400, 0)}, (), {})
+    table.apply_hint("e2", {"near": Load(400, 0), "far": Load(400, 0)}, (), {})
     assert table.place_online([near], target_latency=300.0, is_retry=False, far=[far]) is None
 
 
@@ -129,8 +129,8 @@
     clock = _Clock()
     table = LoadTable(clock, "z", name="e1")
     slow, good = _upstream("slow"), _upstream("good")
-    table.suspect(slow)
-    table.take_hint("e2", {"good": Load(7, 0)}, (), {})
+    table.record_failure(slow)
+    table.apply_hint("e2", {"good": Load(7, 0)}, (), {})
     clock.at = SUSPECT_TIME + 1.0
     first = table.place_online([slow, good], target_latency=300.0, is_retry=False)
     assert first is not None and first.upstream is slow
--- a/packages/node/tests/test_direct_owned_job.py
+++ b/packages/node/tests/test_direct_owned_job.py
@@ -103,13 +103,15 @@
 
 def test_proof_from_before_a_loss_of_contact_stays_invalid(job: OwnedJob, clock: _Clock) -> None:
     """Contact was restored long ago, but the job may have been ended or taken over before."""
-    doubt_until = clock.time + 4_000.0
-    assert job.proof.is_valid(doubt_until=doubt_until, max_age=1_500.0)
+    ownership_uncertain_until = clock.time + 4_000.0
+    assert job.proof.is_valid(ownership_uncertain_until=ownership_uncertain_until, max_age=1_500.0)
     clock.time += 60_000.0
-    assert not job.proof.is_valid(doubt_until=doubt_until, max_age=1_500.0)
+    assert not job.proof.is_valid(
+        ownership_uncertain_until=ownership_uncertain_until, max_age=1_500.0
+    )
     assert job.verify()
     clock.time += 60_000.0
-    assert job.proof.is_valid(doubt_until=doubt_until, max_age=1_500.0)
+    assert job.proof.is_valid(ownership_uncertain_until=ownership_uncertain_until, max_age=1_500.0)
 
 
 def test_job_continues_for_the_grace_period_while_the_store_is_unreachable(
@@ -154,7 +156,7 @@
     assert job.report_ended()
     assert run.cancellation.cancelled
     assert not job.finished
-    assert not job.proof.is_valid(doubt_until=0.0, max_age=1_500.0)
+    assert not job.proof.is_valid(ownership_uncertain_until=0.0, max_age=1_500.0)
     assert not job.verify()
     assert job.lost
 
@@ -172,7 +174,7 @@
     store.outage = False
     clock.time += 10.0
     assert job.verify()
-    assert job.proof.is_valid(doubt_until=0.0, max_age=1_500.0)
+    assert job.proof.is_valid(ownership_uncertain_until=0.0, max_age=1_500.0)
 
 
 def test_commit_sent_before_a_reported_end_does_not_verify_it(job: OwnedJob, clock: _Clock) -> None:
@@ -181,7 +183,7 @@
     clock.time += 10.0
     assert job.report_ended()
     job.proof.renew(requested_at)
-    assert not job.proof.is_valid(doubt_until=0.0, max_age=1_500.0)
+    assert not job.proof.is_valid(ownership_uncertain_until=0.0, max_age=1_500.0)
 
 
 def test_job_whose_records_were_removed_is_lost(
--- a/packages/node/tests/test_direct_peers.py
+++ b/packages/node/tests/test_direct_peers.py
@@ -10,7 +10,7 @@
 from msgspec.structs import replace
 
 from carobspool_core import Millis
-from carobspool_core.direct import DOUBT_TIME, Load, WaitingGroup, key_of
+from carobspool_core.direct import OWNERSHIP_UNCERTAIN_TIME, Load, WaitingGroup, short_key_of
 from carobspool_node.direct._announcement import Sender, encode_announcement_for_previous_version
 from carobspool_node.direct._hint_receiver import PeerEvents
 from carobspool_node.direct._load_hint import encode_load_hint, pack_loads
@@ -50,18 +50,18 @@
                 urgent=lambda: None,
                 describe=_own_hint,
                 shares_upstreams=lambda: None,
-                identities_by_key=lambda: {key_of(ENGINE): ENGINE},
+                identities_by_key=lambda: {short_key_of(ENGINE): ENGINE},
             ),
         )
         events = PeerEvents(ended=self.ended.extend, loads=self._record_loads)
         self.peers._events = self.peers._receiver._events = events
         self.hear()
-        self.wait(DOUBT_TIME + TICK, hearing=True)
+        self.wait(OWNERSHIP_UNCERTAIN_TIME + TICK, hearing=True)
 
     @property
     def doubts(self) -> bool:
         """Whether a check of ownership made before now is invalid."""
-        return self.peers.doubt_until >= self.clock.time
+        return self.peers.ownership_uncertain_until >= self.clock.time
 
     def hear(self, **changes: Any) -> None:
         """Receive an announcement of a peer, in the format of the previous version by default."""
--- a/packages/node/tests/test_direct_view_exchange.py
+++ b/packages/node/tests/test_direct_view_exchange.py
@@ -11,7 +11,7 @@
 import pytest
 
 from carobspool_core import Json, boottime_clock
-from carobspool_core.direct import Upstream, UpstreamsView
+from carobspool_core.direct import Upstream, UpstreamsSnapshot
 from carobspool_core.problems import UnusableRecordError
 from carobspool_node.direct import _packed_answer
 from carobspool_node.direct._packed_answer import AnswerPacker, unpack_answer
@@ -40,8 +40,8 @@
     def stored_configuration(self) -> tuple[int, Json]:
         return 7, {"version": 4}
 
-    def upstreams_view(self) -> tuple[int, UpstreamsView]:
-        return 9, UpstreamsView(listed=[ENGINE], lapsed=[(ENGINE, 120.0)])
+    def upstreams_view(self) -> tuple[int, UpstreamsSnapshot]:
+        return 9, UpstreamsSnapshot(listed=[ENGINE], lapsed=[(ENGINE, 120.0)])
 
     def newer_kinds(self, versions: Mapping[str, int]) -> list[str]:
         return ["configuration", "upstreams"]
@@ -53,7 +53,7 @@
         self.adopted.append((revision, value))
         return True
 
-    def adopt_upstreams(self, revision: int, view: UpstreamsView) -> bool:
+    def adopt_upstreams(self, revision: int, view: UpstreamsSnapshot) -> bool:
         self.adopted.append((revision, view))
         return True
 
@@ -94,7 +94,7 @@
     _compare(_exchange(declared, caller))
     assert sorted(declared.adopted, key=lambda each: each[0]) == [
         (7, {"version": 4}),
-        (9, UpstreamsView(listed=[ENGINE], lapsed=[(ENGINE, 120.0)])),
+        (9, UpstreamsSnapshot(listed=[ENGINE], lapsed=[(ENGINE, 120.0)])),
     ]
 
 
--- a/tests/fleet_load.py
+++ b/tests/fleet_load.py
@@ -16,7 +16,7 @@
 from carobspool_core.direct import (
     BatchUrgency,
     Load,
-    LoadPace,
+    LoadSendLimiter,
     PeerBacklog,
     Upstream,
     WaitingGroup,
@@ -175,7 +175,7 @@
         self.waiting: list[deque[_Item]] = [deque() for _ in self.tables]
         self.running: list[list[_Run]] = [[] for _ in self.tables]
         self.backlogs = [PeerBacklog() for _ in self.tables]
-        self.paces = [LoadPace() for _ in self.tables]
+        self.paces = [LoadSendLimiter() for _ in self.tables]
         self.sent_loads: list[dict[str, Load]] = [{} for _ in self.tables]
         self.send_scheduled = [False for _ in self.tables]
         self.engines: dict[str, list[_Run]] = {each.instance: [] for each in self.upstreams}
@@ -231,7 +231,7 @@
         number = self.upstreams.index(placement.upstream)
         if number < self.plan.failing_engines and self.draw.random() < self.plan.failing_share:
             self.report.failed += 1
-            self.tables[entry].suspect(placement.upstream)
+            self.tables[entry].record_failure(placement.upstream)
             self.tables[entry].end_online(placement, completed=False)
             return
         duration = self.plan.stream * self.draw.uniform(0.6, 1.4)
@@ -261,7 +261,7 @@
 
     def may_start(self, entry: int, item: _Item) -> bool:
         urgency = self.urgency(item)
-        free_slots = self.tables[entry].room_for_batch(self.near[entry], urgency=urgency)
+        free_slots = self.tables[entry].free_batch_slots(self.near[entry], urgency=urgency)
         return self.backlogs[entry].may_start(
             self.start_order(item), free_slots=free_slots, now=self.clock.at
         )
@@ -307,7 +307,7 @@
         for entry, runs in enumerate(self.running):
             for run in runs:
                 if run.started is not None:
-                    self.tables[entry].heard(self.by_instance[run.engine])
+                    self.tables[entry].record_activity(self.by_instance[run.engine])
         self.at(self.clock.at + EVENT_INTERVAL, self.send_events)
 
     def finish(self, run: _Run) -> None:
@@ -364,12 +364,12 @@
         if self.tables[entry].own_loads() == self.sent_loads[entry]:
             return
         peers = len(self.groups[entry][1]) - 1
-        wait = self.paces[entry].wait(self.clock.at, peers=peers)
+        wait = self.paces[entry].delay_before_send(self.clock.at, peers=peers)
         if wait > 0.0:
             self.send_scheduled[entry] = True
             self.at(self.clock.at + wait, lambda: self.send_loads(entry))
             return
-        self.paces[entry].sent(self.clock.at, peers=peers)
+        self.paces[entry].record_send(self.clock.at, peers=peers)
         self.hint(entry)
 
     def hint(self, entry: int, *, to_all: bool = False) -> None:
@@ -384,7 +384,7 @@
             for other, table in enumerate(self.tables):
                 if other != entry and (to_all or f"entry-{other}" in group):
                     self.backlogs[other].update_peer(f"entry-{entry}", backlog, self.clock.at)
-                    table.take_hint(f"entry-{entry}", loads, self.upstreams, failures)
+                    table.apply_hint(f"entry-{entry}", loads, self.upstreams, failures)
             self.interrupt_cancelled()
             for other in range(self.plan.entries):
                 self.start_items(other)
--- a/tools/cost_placement.py
+++ b/tools/cost_placement.py
@@ -57,11 +57,11 @@
         told = dict(loads[entry])
         chosen = draw.choice(upstreams).identity
         told[chosen] = Load(draw.randrange(3), 0)
-        fleet.take(f"entry-{entry}", told, 0.0)
+        fleet.update_peer(f"entry-{entry}", told, 0.0)
 
     def place() -> None:
         chosen = choose_upstream(
-            upstreams, fleet.totals, failure_domain="domain-0", queue=lambda _: SLOTS
+            upstreams, fleet.totals, failure_domain="domain-0", queue_limit_of=lambda _: SLOTS
         )
         assert chosen is not None
         fleet.add_own(chosen.identity, online=1)
@@ -69,7 +69,7 @@
 
     def tell_all() -> None:
         for entry in range(1, entries):
-            fleet.take(f"entry-{entry}", loads[entry], 0.0)
+            fleet.update_peer(f"entry-{entry}", loads[entry], 0.0)
 
     tell_all()
     hint_cost = _least(hint)
