--- a/packages/node/src/carobspool_node/direct/_announcement.py
+++ b/packages/node/src/carobspool_node/direct/_announcement.py
@@ -10,7 +10,7 @@
 
 from carobspool_core.direct import by_instance, latest_starts
 from carobspool_node.direct._load_hint import pack_loads
-from carobspool_node.direct._peer import OwnHint
+from carobspool_node.direct._peer import AnnouncementContent
 from carobspool_node.organisations import pack_counts
 
 
@@ -30,7 +30,7 @@
 
 def encode_announcement(
     sender: Sender,
-    hint: OwnHint,
+    hint: AnnouncementContent,
     *,
     sequence: int,
     silent: Sequence[str],
@@ -53,7 +53,7 @@
 
 def encode_announcement_for_previous_version(
     sender: Sender,
-    hint: OwnHint,
+    hint: AnnouncementContent,
     *,
     sequence: int,
     silent: Sequence[str],
@@ -76,7 +76,7 @@
     return cbor2.dumps(message | _job_fields(hint))
 
 
-def _common_fields(sender: Sender, hint: OwnHint, sequence: int) -> dict[str, Any]:
+def _common_fields(sender: Sender, hint: AnnouncementContent, sequence: int) -> dict[str, Any]:
     starts = latest_starts([*hint.loads, *hint.failures])
     return {
         "n": sender.name,
@@ -94,5 +94,5 @@
     }
 
 
-def _job_fields(hint: OwnHint) -> dict[str, Any]:
+def _job_fields(hint: AnnouncementContent) -> dict[str, Any]:
     return {"j": sorted(hint.open_jobs), "f": sorted(hint.done_jobs)}
--- a/packages/node/src/carobspool_node/direct/_bad_records.py
+++ b/packages/node/src/carobspool_node/direct/_bad_records.py
@@ -48,7 +48,7 @@
         self._lines = 0
         self._unlogged = 0
 
-    def note(self, name: str, reason: object) -> None:
+    def report_if_changed(self, name: str, reason: object) -> None:
         """Log and count a bad record if it is new or bad for another reason than before."""
         digest = _digest(str(reason))
         with self._lock:
@@ -71,12 +71,12 @@
             "event=bad_%s %s=%s reason=%r unlogged=%d",
             self._kind,
             self._field,
-            shown(name, MAX_NAME_CHARS),
-            shown(str(reason), MAX_REASON_CHARS),
+            printable_text(name, MAX_NAME_CHARS),
+            printable_text(str(reason), MAX_REASON_CHARS),
             unlogged,
         )
 
-    def mended(self, name: str) -> None:
+    def report_valid(self, name: str) -> None:
         """Log that a record is valid again or gone, if it was known as bad."""
         if not self._reported:
             return
@@ -90,7 +90,7 @@
             "event=%s_mended %s=%s unlogged=%d",
             self._kind,
             self._field,
-            shown(name, MAX_NAME_CHARS),
+            printable_text(name, MAX_NAME_CHARS),
             unlogged,
         )
 
@@ -114,7 +114,7 @@
             return unlogged
 
 
-def shown(text: str, limit: int) -> str:
+def printable_text(text: str, limit: int) -> str:
     """Return untrusted text in a form fit for a log line: printable ASCII, cut to ``limit``."""
     found = text[: limit + 1].encode("ascii", "backslashreplace").decode()
     found = "".join(each if each.isprintable() else "?" for each in found)
--- a/packages/node/src/carobspool_node/direct/_declared.py
+++ b/packages/node/src/carobspool_node/direct/_declared.py
@@ -17,7 +17,7 @@
     ViewVersion,
 )
 from carobspool_core.problems import UnusableRecordError
-from carobspool_node.direct._bad_records import BadRecords, shown
+from carobspool_node.direct._bad_records import BadRecords, printable_text
 from carobspool_node.direct._deployment import Deployment
 from carobspool_node.direct._follow import Follower
 from carobspool_node.direct._telemetry import Telemetry
@@ -36,7 +36,7 @@
 MAX_REASON_CHARS = 300
 
 
-class Declared:
+class DeclaredState:
     """Follows the configuration and the upstream registrations in the store.
 
     Args:
@@ -89,9 +89,9 @@
                 deployment.upstream_prefix,
                 on_listing=self._on_upstreams_listed,
                 on_change=self._on_upstream_changed,
-                on_regained=self._on_store_regained,
+                on_recovered=self._on_store_recovered,
                 reduce=self._with_parsed_value,
-                gather=UPSTREAMS_WATCH_PAUSE,
+                watch_pause=UPSTREAMS_WATCH_PAUSE,
                 on_duty=on_duty,
             ),
         }
@@ -148,7 +148,7 @@
             _STARTS: self._starts_view.version,
         }
 
-    def newer_kinds(self, versions: Mapping[str, int]) -> list[str]:
+    def newer_views(self, versions: Mapping[str, int]) -> list[str]:
         """Return the names of the views that are newer at a process with these ``versions``."""
         found = []
         if versions.get(CONFIGURATION, 0) > self._configuration_view.version:
@@ -195,7 +195,7 @@
         views = ((UPSTREAMS, self._upstreams_view), (_STARTS, self._starts_view))
         return any(versions.get(name, 0) not in (0, view.version) for name, view in views)
 
-    def compare(self, versions: Mapping[str, int]) -> None:
+    def refresh_if_behind(self, versions: Mapping[str, int]) -> None:
         """Refresh the views that differ from those of a process with these ``versions``."""
         now = self._clock.now()
         if self._configuration_view.should_reread_for_version(versions.get(CONFIGURATION, 0), now):
@@ -227,9 +227,9 @@
         try:
             configuration = self._deployment.read_configuration(stored.value)
         except UnusableRecordError as error:
-            self._bad_configurations.note(stored.key, error)
+            self._bad_configurations.report_if_changed(stored.key, error)
             return
-        self._bad_configurations.mended(stored.key)
+        self._bad_configurations.report_valid(stored.key)
         current = self._configuration
         if current is not None and configuration.version <= current.version:
             return
@@ -250,10 +250,10 @@
         for each in objects:
             name = self._instance_id(each)
             if isinstance(each.value, Upstream):
-                self._bad_upstreams.mended(name)
+                self._bad_upstreams.report_valid(name)
                 found.append(each.value)
                 continue
-            self._bad_upstreams.note(name, each.value)
+            self._bad_upstreams.report_if_changed(name, each.value)
             unusable.append(name)
         with self._upstreams_lock:
             restarted = self._upstreams.replace(found, self._clock.now(), unusable=unusable)
@@ -277,9 +277,9 @@
                 self._upstreams.reject_registration(name)
             self._update_digests()
         if registered is not None and not isinstance(registered, Upstream):
-            self._bad_upstreams.note(name, registered)
+            self._bad_upstreams.report_if_changed(name, registered)
             return
-        self._bad_upstreams.mended(name)
+        self._bad_upstreams.report_valid(name)
         if change.deleted and not known:
             return
         logging.info(
@@ -313,12 +313,12 @@
         try:
             return self._deployment.read_upstream(name, stored.value)
         except UnusableRecordError as error:
-            reason = shown(str(error), MAX_REASON_CHARS)
+            reason = printable_text(str(error), MAX_REASON_CHARS)
         if len(self._unusable) >= MAX_UNUSABLE_CACHED:
             self._unusable.clear()
         self._unusable[name] = (stored.version, reason)
         return reason
 
-    def _on_store_regained(self) -> None:
+    def _on_store_recovered(self) -> None:
         with self._upstreams_lock:
             self._upstreams.store_recovered(self._clock.now())
--- a/packages/node/src/carobspool_node/direct/_entry.py
+++ b/packages/node/src/carobspool_node/direct/_entry.py
@@ -21,11 +21,12 @@
 from carobspool_node.direct._bad_records import BadRecords
 from carobspool_node.direct._caller_connection import CallerConnection
 from carobspool_node.direct._callers import CallerApi
-from carobspool_node.direct._declared import Declared
+from carobspool_node.direct._declared import DeclaredState
 from carobspool_node.direct._deployment import Deployment
 from carobspool_node.direct._exit import EntryExit
 from carobspool_node.direct._forward import Forwarder
-from carobspool_node.direct._hint_receiver import PeerEvents
+from carobspool_node.direct._group_assignment import GroupAssignment
+from carobspool_node.direct._hint_receiver import PeerCallbacks
 from carobspool_node.direct._item_run import ItemRunner
 from carobspool_node.direct._job_adoption import JobAdoption
 from carobspool_node.direct._job_catalog import JobCatalog
@@ -39,11 +40,10 @@
 from carobspool_node.direct._membership import Membership
 from carobspool_node.direct._messages import CallerRequest
 from carobspool_node.direct._metrics_server import serve_metrics
-from carobspool_node.direct._neighbourhood import Neighbourhood
-from carobspool_node.direct._peer import OwnHint
+from carobspool_node.direct._peer import AnnouncementContent
 from carobspool_node.direct._peer_api import PeerApi
 from carobspool_node.direct._peer_calls import PEER_HEADERS, PeerCaller
-from carobspool_node.direct._peers import OwnState, Peers
+from carobspool_node.direct._peers import HintSources, Peers
 from carobspool_node.direct._reload import SettingsReload
 from carobspool_node.direct._settings import DirectSettings
 from carobspool_node.direct._stop_signal import StopSignal
@@ -91,15 +91,15 @@
             name=settings.node,
             incarnation=self._incarnation,
             address=(settings.address, settings.peer_port),
-            own=OwnState(
+            own=HintSources(
                 loads=self._loads.own_loads,
                 backlog=lambda: self._runner.backlog(),
                 urgent=self._urgent_state,
                 describe=self._own_hint,
-                shares_upstreams=lambda: self._neighbourhood.peers(),
+                upstream_sharers=lambda: self._group_assignment.group_members(),
                 identities_by_key=lambda: self._declared.identities_by_key(),
-                has_untold_counts=lambda: self._quota.has_untold,
-                counts_to_tell=lambda is_heartbeat: self._quota.counts_to_tell(
+                has_unsent_counts=lambda: self._quota.has_unsent_counts,
+                claim_unsent_counts=lambda is_heartbeat: self._quota.claim_unsent_counts(
                     is_heartbeat=is_heartbeat
                 ),
             ),
@@ -111,7 +111,7 @@
             self._telemetry,
             lambda: self._peers,
         )
-        self._declared = Declared(
+        self._declared = DeclaredState(
             self._clock,
             self._store,
             deployment,
@@ -128,9 +128,9 @@
             node=settings.node,
             address=(settings.address, settings.peer_port),
             leaving=self._leaving,
-            store_ok=lambda: self._store.answered_last,
+            store_ok=lambda: self._store.last_call_answered,
         )
-        self._neighbourhood = Neighbourhood(
+        self._group_assignment = GroupAssignment(
             self._clock,
             settings.node,
             members=self._peers.members,
@@ -144,7 +144,7 @@
             items,
             self._telemetry,
             configuration=lambda: self._declared.configuration,
-            usable=self._neighbourhood.near,
+            usable=self._group_assignment.near,
             ownership_uncertain_until=lambda: self._peers.ownership_uncertain_until,
         )
         bad_records = BadRecords(self._clock, self._telemetry, "job_record", "key")
@@ -192,7 +192,7 @@
             deployment.headers,
             self._loads,
             self._connections,
-            self._neighbourhood.reach,
+            self._group_assignment.split_upstreams,
             self._telemetry,
             lambda: self._exit.time_left,
         )
@@ -229,9 +229,9 @@
         self._reload.listen()
         serve_metrics((settings.address, settings.metrics_port), self._telemetry, self._clock)
         callers = self._start_listeners()
-        self._loads.set_own_change_callback(self._peers.loads_changed)
+        self._loads.set_own_change_callback(self._peers.schedule_load_hint)
         self._peers.start(
-            PeerEvents(
+            PeerCallbacks(
                 loads=self._adopt_peer_loads,
                 backlog=self._runner.take_backlog,
                 versions=self._compare_versions,
@@ -285,8 +285,8 @@
         return callers
 
     def _compare_versions(self, peer: str, versions: Mapping[str, int]) -> None:
-        self._views.compare(peer, versions)
-        self._membership.compare(versions)
+        self._views.pull_newer_views(peer, versions)
+        self._membership.refresh_if_behind(versions)
 
     def _adopt_peer_loads(
         self,
@@ -338,11 +338,11 @@
             sum(self._loads.own_failures().values()),
             self._leaving.is_set(),
             self._runner.released,
-            self._store.answered_last,
+            self._store.last_call_answered,
         )
 
-    def _own_hint(self) -> OwnHint:
-        return OwnHint(
+    def _own_hint(self) -> AnnouncementContent:
+        return AnnouncementContent(
             loads=self._loads.own_loads(),
             failures=self._loads.own_failures(),
             open_jobs=self._runner.job_ids(finished=False),
@@ -351,7 +351,7 @@
             versions={**self._declared.versions(), **self._membership.versions()},
             leaving=self._leaving.is_set(),
             released=self._runner.released,
-            store_ok=self._store.answered_last,
+            store_ok=self._store.last_call_answered,
             answer_age=self._store.answer_age,
             counts=self._quota.recent_counts(TOLD_IN_ANNOUNCEMENTS_FOR),
             backlog=self._runner.backlog(),
--- a/packages/node/src/carobspool_node/direct/_exit.py
+++ b/packages/node/src/carobspool_node/direct/_exit.py
@@ -105,7 +105,9 @@
         now = self._clock.now()
         candidates = [
             HandoverCandidate(
-                since_last_hint=now - peer.heard, leaving=peer.leaving, store_ok=peer.store_ok
+                since_last_hint=now - peer.last_heard_at,
+                leaving=peer.leaving,
+                store_ok=peer.store_ok,
             )
             for peer in self._peers.live()
         ]
--- a/packages/node/src/carobspool_node/direct/_follow.py
+++ b/packages/node/src/carobspool_node/direct/_follow.py
@@ -50,11 +50,11 @@
         prefix: Prefix of the objects' keys.
         on_listing: Called with all objects after a listing.
         on_change: Called with each later change.
-        on_regained: Called when the store can be read again after a failure.
+        on_recovered: Called when the store can be read again after a failure.
         reduce: Returns the part of an object to keep for ``on_listing``. It is called as each page
             arrives, so that the values of a long listing are never all in memory.
-        gather: Pause between a change and the next watch, in milliseconds. The pause delays changes
-            by as much.
+        watch_pause: Pause between a change and the next watch, in milliseconds. The pause delays
+            changes by as much.
         on_duty: Returns whether this process has to follow the store itself. While it does not, it
             gets changes from other processes, see `adopt`.
         settle_time: Pause between the first listing and the first watch, in milliseconds, in which
@@ -68,9 +68,9 @@
         *,
         on_listing: Callable[[Sequence[StoredObject]], None],
         on_change: Callable[[ObjectChange], None],
-        on_regained: Callable[[], None] = lambda: None,
+        on_recovered: Callable[[], None] = lambda: None,
         reduce: Callable[[StoredObject], StoredObject] = lambda stored: stored,
-        gather: Millis = 0.0,
+        watch_pause: Millis = 0.0,
         on_duty: Callable[[], bool] = lambda: True,
         settle_time: Millis = 0.0,
     ) -> None:
@@ -78,9 +78,9 @@
         self._prefix = prefix
         self._on_listing = on_listing
         self._on_change = on_change
-        self._on_regained = on_regained
+        self._on_recovered = on_recovered
         self._reduce = reduce
-        self._gather = gather
+        self._watch_pause = watch_pause
         self._on_duty = on_duty
         self._settle_time = settle_time
         self._lock = threading.Lock()
@@ -153,8 +153,8 @@
             if revision is None:
                 pause += random.random() * RETRY_JITTER
                 time.sleep(pause / 1000.0)
-            elif self._gather:
-                time.sleep(self._gather / 1000.0)
+            elif self._watch_pause:
+                time.sleep(self._watch_pause / 1000.0)
 
     def _list(self) -> int | None:
         objects: list[StoredObject] = []
@@ -171,7 +171,7 @@
         if self._failing:
             self._failing = False
             logging.info("event=store_regained prefix=%s", self._prefix)
-            self._on_regained()
+            self._on_recovered()
         revision = page.unwrap().revision
         with self._lock:
             # A listing and a watch can return out of order; the older one must not be applied last.
--- a/packages/node/src/carobspool_node/direct/_forward.py
+++ b/packages/node/src/carobspool_node/direct/_forward.py
@@ -24,7 +24,6 @@
     has_time_to_serve,
     is_retry_by_deadline,
 )
-from carobspool_node.direct._attempt import RequestState
 from carobspool_node.direct._caller_connection import CallerConnection
 from carobspool_node.direct._errors import (
     CallerGoneError,
@@ -32,6 +31,7 @@
     RunCancelledError,
 )
 from carobspool_node.direct._forwarded_request import upstream_request
+from carobspool_node.direct._group_assignment import UpstreamSplit
 from carobspool_node.direct._loads import LoadTable
 from carobspool_node.direct._messages import (
     CallerRequest,
@@ -40,8 +40,8 @@
     UpstreamHead,
     end_to_end,
 )
-from carobspool_node.direct._neighbourhood import Reach
 from carobspool_node.direct._request_endings import RequestEndings
+from carobspool_node.direct._request_state import RequestState
 from carobspool_node.direct._telemetry import Telemetry
 from carobspool_node.direct._upstream_calls import (
     CallFailedError,
@@ -81,7 +81,7 @@
         names: Header names of the deployment.
         loads: Requests in flight at each upstream.
         connections: Pool of connections to upstreams.
-        reach: Returns the upstreams of a service.
+        split_upstreams: Returns the upstreams of a service.
         telemetry: Logs and metrics.
         time_left: Returns the time until this process exits, ``None`` if it is not shutting down.
     """
@@ -92,7 +92,7 @@
         names: HeaderNames,
         loads: LoadTable,
         connections: UpstreamConnections,
-        reach: Callable[[str], Reach],
+        split_upstreams: Callable[[str], UpstreamSplit],
         telemetry: Telemetry,
         time_left: Callable[[], Millis | None],
     ) -> None:
@@ -100,7 +100,7 @@
         self._names = names
         self._loads = loads
         self._connections = connections
-        self._reach = reach
+        self._split_upstreams = split_upstreams
         self._telemetry = telemetry
         self._time_left = time_left
         self._endings = RequestEndings(clock, telemetry)
@@ -181,7 +181,7 @@
     def _try_upstreams(self, state: RequestState) -> None:
         service = state.route.choose_service(state.request.request_id)
         while True:
-            reach = self._reach(service)
+            split = self._split_upstreams(service)
             if state.deadline - self._clock.now() < MIN_CALL_TIME:
                 raise DeadlinePassedError("not enough time for another call")
             if not state.may_have_run and not self._has_time_before_exit(state):
@@ -191,22 +191,22 @@
                 self._endings.give_up(state, has_upstreams=True)
                 return
             placement = self._loads.place_online(
-                reach.near,
+                split.near,
                 target_latency=state.route.target_latency,
                 is_retry=state.is_retry or state.streaming,
                 excluded=frozenset(state.tried),
-                far=reach.far,
+                far=split.far,
             )
             if placement is None:
                 logging.info(
                     "event=no_place request=%s service=%s upstreams=%d returned=%s %s",
                     state.request.request_id,
                     service,
-                    len(reach.near) + len(reach.far),
+                    len(split.near) + len(split.far),
                     state.is_retry,
-                    self._loads.describe(reach.near),
+                    self._loads.describe(split.near),
                 )
-                self._endings.give_up(state, has_upstreams=bool(reach.near))
+                self._endings.give_up(state, has_upstreams=bool(split.near))
                 return
             state.tried.add(placement.upstream.identity)
             state.upstream_loads.append(f"{placement.upstream.instance}:{placement.load.total}")
--- a/packages/node/src/carobspool_node/direct/_forwarded_request.py
+++ b/packages/node/src/carobspool_node/direct/_forwarded_request.py
@@ -4,8 +4,8 @@
 
 from carobspool_core import Millis
 from carobspool_core.direct import Upstream
-from carobspool_node.direct._attempt import RequestState
 from carobspool_node.direct._messages import HeaderNames, end_to_end, with_organisation
+from carobspool_node.direct._request_state import RequestState
 from carobspool_node.direct._upstream_calls import UpstreamRequest
 
 BODILESS = (b"GET", b"HEAD", b"DELETE")
--- a/packages/node/src/carobspool_node/direct/_neighbourhood.py
+++ b/packages/node/src/carobspool_node/direct/_group_assignment.py
@@ -14,7 +14,7 @@
 """Time for which the group is cached, since each request needs it."""
 
 
-class Reach(Struct, frozen=True, kw_only=True):
+class UpstreamSplit(Struct, frozen=True, kw_only=True):
     """The upstreams of a service, split into those that this entry uses and the others.
 
     Attributes:
@@ -34,7 +34,7 @@
     members: frozenset[str]
 
 
-class Neighbourhood:
+class GroupAssignment:
     """Assigns this entry to a group, and upstreams to that group; safe for threads.
 
     Args:
@@ -62,26 +62,26 @@
         self._lock = threading.Lock()
         self._group = _Group(number=0, groups=1, members=frozenset({name}))
         self._group_valid_until: Millis = 0.0
-        self._reaches: dict[str, tuple[Sequence[Upstream], _Group, Reach]] = {}
+        self._splits: dict[str, tuple[Sequence[Upstream], _Group, UpstreamSplit]] = {}
 
     def near(self, service: str) -> Sequence[Upstream]:
         """Return the upstreams of a service that this entry uses."""
-        return self.reach(service).near
+        return self.split_upstreams(service).near
 
-    def reach(self, service: str) -> Reach:
+    def split_upstreams(self, service: str) -> UpstreamSplit:
         """Return the upstreams of a service, split into near and far ones."""
         upstreams = self._usable(service)
         group = self._current_group()
         if group.groups == 1:
-            return Reach(near=upstreams, far=())
-        known = self._reaches.get(service)
+            return UpstreamSplit(near=upstreams, far=())
+        known = self._splits.get(service)
         if known is not None and known[0] is upstreams and known[1] is group:
             return known[2]
-        reach = _reach_of_group(upstreams, group)
-        self._reaches[service] = (upstreams, group, reach)
-        return reach
+        split = _split_for_group(upstreams, group)
+        self._splits[service] = (upstreams, group, split)
+        return split
 
-    def peers(self) -> frozenset[str] | None:
+    def group_members(self) -> frozenset[str] | None:
         """Return the names of the entries that use the same upstreams, ``None`` for all entries."""
         group = self._current_group()
         return None if group.groups == 1 else group.members
@@ -103,10 +103,10 @@
             return self._group
 
 
-def _reach_of_group(upstreams: Sequence[Upstream], group: _Group) -> Reach:
+def _split_for_group(upstreams: Sequence[Upstream], group: _Group) -> UpstreamSplit:
     instances = [each.instance for each in upstreams]
     near = upstreams_of_group(upstreams, instances, group.number, group.groups)
     if near is upstreams:
-        return Reach(near=upstreams, far=())
+        return UpstreamSplit(near=upstreams, far=())
     names = {each.instance for each in near}
-    return Reach(near=near, far=[each for each in upstreams if each.instance not in names])
+    return UpstreamSplit(near=near, far=[each for each in upstreams if each.instance not in names])
--- a/packages/node/src/carobspool_node/direct/_hint_receiver.py
+++ b/packages/node/src/carobspool_node/direct/_hint_receiver.py
@@ -43,7 +43,7 @@
 """Takes a peer's name and the batch items that wait at the peer."""
 
 
-class PeerEvents(Struct, frozen=True, kw_only=True):
+class PeerCallbacks(Struct, frozen=True, kw_only=True):
     """Callbacks for the content of peers' hints and for silent peers.
 
     Attributes:
@@ -87,10 +87,10 @@
         self._table = table
         self._identities_by_key = identities_by_key
         self._bad_hints = bad_hints
-        self._events = PeerEvents()
+        self._events = PeerCallbacks()
         self._stopped = threading.Event()
 
-    def start(self, events: PeerEvents) -> None:
+    def start(self, events: PeerCallbacks) -> None:
         """Start the receiving thread.
 
         Args:
--- a/packages/node/src/carobspool_node/direct/_hint_sender.py
+++ b/packages/node/src/carobspool_node/direct/_hint_sender.py
@@ -15,8 +15,8 @@
     encode_announcement_for_previous_version,
 )
 from carobspool_node.direct._load_hint import encode_counts_hint, encode_load_hint
-from carobspool_node.direct._peer import OwnHint
-from carobspool_node.direct._peer_table import Targets
+from carobspool_node.direct._peer import AnnouncementContent
+from carobspool_node.direct._peer_table import HintTargets
 
 Address = tuple[str, int]
 
@@ -45,7 +45,7 @@
 
     def announce(
         self,
-        hint: OwnHint,
+        hint: AnnouncementContent,
         *,
         current: Iterable[Address],
         others: Iterable[Address],
@@ -70,13 +70,13 @@
                 data = encode(self._sender, hint, sequence=sequence, silent=silent, ended=ended)
                 self._send(data, addresses)
 
-    def tell_loads(
+    def send_loads(
         self,
         loads: Mapping[str, Load],
         backlog: Sequence[WaitingGroup],
         counts: Mapping[int, int],
         *,
-        targets: Targets,
+        targets: HintTargets,
         sharers: frozenset[str] | None,
     ) -> None:
         """Send load hints and counts hints.
@@ -90,12 +90,12 @@
         """
         sequence = self._next_sequence()
         recipients = targets.load_recipients(sharers)
-        with_counts = recipients & targets.counting if counts else frozenset()
+        with_counts = recipients & targets.count_readers if counts else frozenset()
         self._send_load_hint(
             loads, backlog, {}, sequence, _addresses(targets, recipients - with_counts)
         )
         self._send_load_hint(loads, backlog, counts, sequence, _addresses(targets, with_counts))
-        counts_only = targets.counting - recipients
+        counts_only = targets.count_readers - recipients
         if counts and counts_only and self._admit_counts_hint(len(counts_only)):
             data = encode_counts_hint(
                 name=self._sender.name,
@@ -144,5 +144,5 @@
                 self._socket.sendto(data, address)
 
 
-def _addresses(targets: Targets, names: Iterable[str]) -> list[Address]:
+def _addresses(targets: HintTargets, names: Iterable[str]) -> list[Address]:
     return [targets.current[name] for name in names]
--- a/packages/node/src/carobspool_node/direct/_job_adoption.py
+++ b/packages/node/src/carobspool_node/direct/_job_adoption.py
@@ -229,7 +229,7 @@
             self.add_orphans([job_id], "recovered")
 
     def _has_owner(self, job_id: str) -> bool:
-        return self._runner.get(job_id) is not None or self._peers.holder_of(job_id) is not None
+        return self._runner.get(job_id) is not None or self._peers.find_job_peer(job_id) is not None
 
     def _take_over(self, job: JobInput, state: StoredProgress, reason: str) -> bool:
         """Become the owner of a job unless it has a live owner; return whether it has one now."""
@@ -260,4 +260,4 @@
 
     def _is_owned_by_live_peer(self, owner: str, job_id: str) -> bool:
         peer = self._peers.by_identity(owner)
-        return peer is not None and peer.answers_for(job_id)
+        return peer is not None and peer.serves_job(job_id)
--- a/packages/node/src/carobspool_node/direct/_job_records.py
+++ b/packages/node/src/carobspool_node/direct/_job_records.py
@@ -31,7 +31,7 @@
 )
 from carobspool_core.problems import Problem, UnusableRecordError
 from carobspool_core.records import Record, ValidatedBy, field, read_record
-from carobspool_node.direct._bad_records import BadRecords, shown
+from carobspool_node.direct._bad_records import BadRecords, printable_text
 
 INPUTS = "jobs/"
 PROGRESS = "progress/"
@@ -258,14 +258,16 @@
 
     def _report_unreadable(self, key: str, error: UnusableRecordError) -> Failure[StoreFailure]:
         if self._bad_records is not None:
-            self._bad_records.note(key, error)
+            self._bad_records.report_if_changed(key, error)
         else:
-            logging.warning("event=bad_job_record key=%s reason=%r", shown(key, 80), str(error))
+            logging.warning(
+                "event=bad_job_record key=%s reason=%r", printable_text(key, 80), str(error)
+            )
         return Failure(StoreFailure(fault=StoreFault.UNREADABLE, key=key, detail=str(error)))
 
     def _report_readable(self, key: str) -> None:
         if self._bad_records is not None:
-            self._bad_records.mended(key)
+            self._bad_records.report_valid(key)
 
     def _read_pieces(self, name: str, count: int) -> Result[str, StoreFailure]:
         """Return the text of a long record, joined from its pieces.
@@ -341,7 +343,7 @@
         if isinstance(value, dict):
             return [(each.name, each.pieces) for each in _segments(value)]
     except UnusableRecordError as error:
-        logging.warning("event=pieces_not_removed reason=%r", shown(str(error), 300))
+        logging.warning("event=pieces_not_removed reason=%r", printable_text(str(error), 300))
     return []
 
 
--- a/packages/node/src/carobspool_node/direct/_job_runner.py
+++ b/packages/node/src/carobspool_node/direct/_job_runner.py
@@ -58,7 +58,8 @@
         telemetry: Counts runs, verifications and changes of owners; measures runs and commits.
         configuration: Returns the current routes, ``None`` before they are known.
         usable: Returns the upstreams of a service that this entry may use.
-        ownership_uncertain_until: Returns until when other entries may have taken over or ended jobs of this one.
+        ownership_uncertain_until: Returns until when other entries may have taken over or ended
+            jobs of this one.
     """
 
     def __init__(
--- a/packages/node/src/carobspool_node/direct/_jobs.py
+++ b/packages/node/src/carobspool_node/direct/_jobs.py
@@ -163,7 +163,7 @@
         finished = self._catalog.cached_finished(job_id)
         if finished is not None:
             return _page_from(finished.total, after, finished.results)
-        peer = self._peers.holder_of(job_id)
+        peer = self._peers.find_job_peer(job_id)
         if peer is not None:
             page = self._results_from_peer(peer, job_id, after, max(0.0, until - self._clock.now()))
             if page is not None:
@@ -197,7 +197,7 @@
         own = self.end_own(job_id)
         if own is not None:
             return own
-        peer = self._peers.holder_of(job_id)
+        peer = self._peers.find_job_peer(job_id)
         if peer is None:
             return self._end_in_store(job_id)
         if self._end_at_peer(peer, job_id):
@@ -252,7 +252,7 @@
         """Whether a job is known without a call to the store."""
         return (
             self._runner.get(job_id) is not None
-            or self._peers.holder_of(job_id) is not None
+            or self._peers.find_job_peer(job_id) is not None
             or self._catalog.has_cached_input(job_id)
         )
 
--- a/packages/node/src/carobspool_node/direct/_membership.py
+++ b/packages/node/src/carobspool_node/direct/_membership.py
@@ -77,7 +77,7 @@
             "entries/",
             on_listing=self._apply_listing,
             on_change=self._apply_change,
-            gather=WATCH_PAUSE,
+            watch_pause=WATCH_PAUSE,
             on_duty=self.follows_store,
             settle_time=SETTLE_TIME,
         )
@@ -90,7 +90,7 @@
         """Return the digest of the known entries, for comparison by other processes."""
         return {NAMES_VERSION: self._peers.names_digest()}
 
-    def compare(self, versions: Mapping[str, int]) -> None:
+    def refresh_if_behind(self, versions: Mapping[str, int]) -> None:
         """Read the list again if other processes have known other entries for too long."""
         self._names_view.version = self._peers.names_digest()
         digest = versions.get(NAMES_VERSION, 0)
@@ -153,14 +153,14 @@
     def _apply_entry(self, stored: StoredObject, *, deleted: bool) -> None:
         name = stored.key.removeprefix("entries/")
         if deleted:
-            self._bad_entries.mended(name)
+            self._bad_entries.report_valid(name)
             self._peers.set_address(name, None)
             return
         try:
             address = read_record(EntryRecord, stored.value).address
         except UnusableRecordError as error:
-            self._bad_entries.note(name, error)
+            self._bad_entries.report_if_changed(name, error)
             self._peers.set_address(name, None)
             return
-        self._bad_entries.mended(name)
+        self._bad_entries.report_valid(name)
         self._peers.set_address(name, address)
--- a/packages/node/src/carobspool_node/direct/_ownership_proof.py
+++ b/packages/node/src/carobspool_node/direct/_ownership_proof.py
@@ -79,10 +79,11 @@
         """Whether the proof rules out a takeover or an end by another entry.
 
         Args:
-            ownership_uncertain_until: Until when other entries may have taken over or ended the job. A proof from
-                before that time stays invalid however long ago it was: the job may have been
-                running at another entry since.
-            max_age: Age up to which a proof is accepted regardless of ``ownership_uncertain_until``.
+            ownership_uncertain_until: Until when other entries may have taken over or ended the
+                job. A proof from before that time stays invalid however long ago it was: the job
+                may have been running at another entry since.
+            max_age: Age up to which a proof is accepted regardless of
+                ``ownership_uncertain_until``.
         """
         if self.is_end_unverified:
             return False
--- a/packages/node/src/carobspool_node/direct/_peer.py
+++ b/packages/node/src/carobspool_node/direct/_peer.py
@@ -17,7 +17,7 @@
         name: Name of the peer.
         incarnation: Identifier of the peer's process; each start has another.
         address: Address at which the peer receives hints and calls.
-        heard: Time at which its last hint arrived.
+        last_heard_at: Time at which its last hint arrived.
         open_jobs: Jobs that the peer works on.
         done_jobs: Finished jobs whose results the peer serves.
         waiting: Waiting tokens by route.
@@ -33,7 +33,7 @@
     name: str
     incarnation: str
     address: tuple[str, int]
-    heard: Millis
+    last_heard_at: Millis
     open_jobs: frozenset[str] = frozenset()
     done_jobs: frozenset[str] = frozenset()
     waiting: Mapping[str, int] = field(default_factory=dict)
@@ -50,12 +50,12 @@
         """Name and incarnation of the peer."""
         return f"{self.name}#{self.incarnation}"
 
-    def answers_for(self, job_id: str) -> bool:
+    def serves_job(self, job_id: str) -> bool:
         """Whether the peer works on a job or serves its results."""
         return job_id in self.open_jobs or job_id in self.done_jobs
 
 
-class OwnHint(Struct, frozen=True, kw_only=True):
+class AnnouncementContent(Struct, frozen=True, kw_only=True):
     """Content of this entry's announcements."""
 
     loads: Mapping[str, Load]
--- a/packages/node/src/carobspool_node/direct/_peer_table.py
+++ b/packages/node/src/carobspool_node/direct/_peer_table.py
@@ -13,23 +13,23 @@
 from carobspool_core import Clock, Millis
 from carobspool_core.direct import DEAD_AFTER, FORGET_AFTER, SILENT_AFTER, Liveness
 from carobspool_core.organisations import Neighbour
-from carobspool_node.direct._bad_records import shown
+from carobspool_node.direct._bad_records import printable_text
 from carobspool_node.direct._load_hint import CountsHint, LoadHint
 from carobspool_node.direct._peer import Peer
 from carobspool_node.direct._peer_messages import MAX_NAME_CHARS, Announcement
 
 
-class Targets(Struct, frozen=True, kw_only=True):
+class HintTargets(Struct, frozen=True, kw_only=True):
     """Addresses to which hints are sent.
 
     Attributes:
         current: Addresses of live entries that read load hints, by name.
-        counting: Names of those entries that read request counts too.
+        count_readers: Names of those entries that read request counts too.
         others: Addresses of entries of the previous version, and of entries that are not heard.
     """
 
     current: Mapping[str, tuple[str, int]]
-    counting: frozenset[str]
+    count_readers: frozenset[str]
     others: Sequence[tuple[str, int]]
 
     def load_recipients(self, sharers: frozenset[str] | None) -> frozenset[str]:
@@ -100,30 +100,32 @@
         """Return the peers heard within `DEAD_AFTER`."""
         now = self._clock.now()
         with self._lock:
-            return [each for each in self._peers.values() if now - each.heard < DEAD_AFTER]
+            return [each for each in self._peers.values() if now - each.last_heard_at < DEAD_AFTER]
 
-    def targets(self) -> Targets:
+    def targets(self) -> HintTargets:
         """Return the addresses to which hints are sent."""
         now = self._clock.now()
         with self._lock:
             others = dict(self._addresses)
             current = {}
-            counting = set()
+            count_readers = set()
             for peer in self._peers.values():
-                if peer.reads_load_hints and now - peer.heard < DEAD_AFTER:
+                if peer.reads_load_hints and now - peer.last_heard_at < DEAD_AFTER:
                     current[peer.name] = peer.address
                     if peer.reads_counts:
-                        counting.add(peer.name)
+                        count_readers.add(peer.name)
                     others.pop(peer.name, None)
-                elif now - peer.heard < FORGET_AFTER:
+                elif now - peer.last_heard_at < FORGET_AFTER:
                     others[peer.name] = peer.address
-        return Targets(current=current, counting=frozenset(counting), others=list(others.values()))
+        return HintTargets(
+            current=current, count_readers=frozenset(count_readers), others=list(others.values())
+        )
 
     def neighbours(self) -> list[Neighbour]:
         """Return all other entries and when they were last heard, including those only listed."""
         with self._lock:
             found = [
-                Neighbour(name=each.name, heard=each.heard, leaving=each.leaving)
+                Neighbour(name=each.name, heard=each.last_heard_at, leaving=each.leaving)
                 for each in self._peers.values()
             ]
             listed = self._addresses.keys() - self._peers.keys()
@@ -141,7 +143,9 @@
         now = self._clock.now()
         with self._lock:
             return frozenset(
-                each.name for each in self._peers.values() if now - each.heard < FORGET_AFTER
+                each.name
+                for each in self._peers.values()
+                if now - each.last_heard_at < FORGET_AFTER
             )
 
     def silent(self) -> list[str]:
@@ -151,7 +155,7 @@
             return [
                 peer.name
                 for peer in self._peers.values()
-                if now - peer.heard > SILENT_AFTER and not peer.leaving
+                if now - peer.last_heard_at > SILENT_AFTER and not peer.leaving
             ]
 
     def apply_announcement(self, announcement: Announcement) -> Peer | None:
@@ -166,7 +170,7 @@
             peer = self._peers.get(announcement.name)
             silence = None
             if peer is not None and peer.incarnation == announcement.incarnation:
-                silence = now - peer.heard
+                silence = now - peer.last_heard_at
             self._liveness.record_hint(silence, now)
             if peer is None or peer.incarnation != announcement.incarnation:
                 if peer is not None and peer.open_jobs:
@@ -175,12 +179,14 @@
                     name=announcement.name,
                     incarnation=announcement.incarnation,
                     address=announcement.address,
-                    heard=now,
+                    last_heard_at=now,
                 )
                 self._peers[announcement.name] = peer
                 self._new_peers.add(announcement.name)
-                logging.info("event=peer_seen peer=%s", shown(peer.identity, 2 * MAX_NAME_CHARS))
-            peer.heard = now
+                logging.info(
+                    "event=peer_seen peer=%s", printable_text(peer.identity, 2 * MAX_NAME_CHARS)
+                )
+            peer.last_heard_at = now
             peer.address = announcement.address
             if announcement.name not in self._addresses:
                 self._addresses[announcement.name] = announcement.address
@@ -231,8 +237,8 @@
         now = self._clock.now()
         with self._lock:
             peer = self._peers[hint.name]
-            self._liveness.record_hint(now - peer.heard, now)
-            peer.heard = now
+            self._liveness.record_hint(now - peer.last_heard_at, now)
+            peer.last_heard_at = now
         return True
 
     def check_silence(self) -> SilentPeers:
@@ -248,11 +254,11 @@
             if gap:
                 # Hints that arrived during the pause are still unread, so no peer is declared dead.
                 for peer in self._peers.values():
-                    peer.heard = max(peer.heard, now - SILENT_AFTER)
+                    peer.last_heard_at = max(peer.last_heard_at, now - SILENT_AFTER)
                 logging.warning("event=process_stalled gap_ms=%.0f", gap)
                 return SilentPeers()
             for peer in list(self._peers.values()):
-                silence = now - peer.heard
+                silence = now - peer.last_heard_at
                 found = self._liveness.evaluate_peer(
                     peer.identity, silence, leaving=peer.leaving, now=now
                 )
@@ -267,7 +273,7 @@
             logging.warning(
                 "event=peer_lost peer=%s silent_ms=%.0f jobs=%d",
                 peer.identity,
-                now - peer.heard,
+                now - peer.last_heard_at,
                 len(peer.open_jobs),
             )
         return SilentPeers(lost=lost, gone=gone)
--- a/packages/node/src/carobspool_node/direct/_peers.py
+++ b/packages/node/src/carobspool_node/direct/_peers.py
@@ -24,10 +24,10 @@
 from carobspool_core.organisations import Neighbour
 from carobspool_node.direct._announcement import Sender
 from carobspool_node.direct._bad_records import BadRecords
-from carobspool_node.direct._hint_receiver import HintReceiver, PeerEvents
+from carobspool_node.direct._hint_receiver import HintReceiver, PeerCallbacks
 from carobspool_node.direct._hint_sender import HintSender
-from carobspool_node.direct._peer import OwnHint, Peer
-from carobspool_node.direct._peer_table import PeerTable, Targets
+from carobspool_node.direct._peer import AnnouncementContent, Peer
+from carobspool_node.direct._peer_table import HintTargets, PeerTable
 from carobspool_node.direct._telemetry import Telemetry
 
 CHECK_INTERVAL: Millis = 50.0
@@ -44,7 +44,7 @@
 most 1.5 s)."""
 
 
-class OwnState(Struct, frozen=True, kw_only=True):
+class HintSources(Struct, frozen=True, kw_only=True):
     """Functions that supply the content of this entry's hints.
 
     Attributes:
@@ -52,21 +52,21 @@
         backlog: Returns the batch items that wait at this entry.
         urgent: Returns the state whose changes are announced at once.
         describe: Returns the content of an announcement.
-        shares_upstreams: Returns the peers that use the same upstreams, ``None`` for all peers.
+        upstream_sharers: Returns the peers that use the same upstreams, ``None`` for all peers.
         identities_by_key: Returns the upstreams that load hints may name.
-        has_untold_counts: Returns whether a hint has to report request counts now.
-        counts_to_tell: Returns the request counts for the next hint to all peers and marks them as
-            reported; takes whether the hint is a heartbeat.
+        has_unsent_counts: Returns whether a hint has to report request counts now.
+        claim_unsent_counts: Returns the request counts for the next hint to all peers and marks
+            them as reported; takes whether the hint is a heartbeat.
     """
 
     loads: Callable[[], Mapping[str, Load]]
     backlog: Callable[[], Sequence[WaitingGroup]]
     urgent: Callable[[], Hashable]
-    describe: Callable[[], OwnHint]
-    shares_upstreams: Callable[[], frozenset[str] | None]
+    describe: Callable[[], AnnouncementContent]
+    upstream_sharers: Callable[[], frozenset[str] | None]
     identities_by_key: Callable[[], Mapping[int, str]]
-    has_untold_counts: Callable[[], bool] = lambda: False
-    counts_to_tell: Callable[[bool], Mapping[int, int]] = lambda is_heartbeat: {}
+    has_unsent_counts: Callable[[], bool] = lambda: False
+    claim_unsent_counts: Callable[[bool], Mapping[int, int]] = lambda is_heartbeat: {}
 
 
 class Peers:
@@ -89,13 +89,13 @@
         name: str,
         incarnation: str,
         address: tuple[str, int],
-        own: OwnState,
+        own: HintSources,
     ) -> None:
         self._clock = clock
         self._sender = Sender(name=name, incarnation=incarnation, address=address)
         self._own = own
         self._table = PeerTable(clock, name)
-        self._events = PeerEvents()
+        self._events = PeerCallbacks()
         self._lock = threading.Lock()
         self._announced_at: Millis = 0.0
         self._repeat_until: Millis = clock.now() + REPEAT_ANNOUNCEMENT_FOR
@@ -118,7 +118,7 @@
         """Time until which peers may have acted on this entry's jobs without its knowledge."""
         return self._table.ownership_uncertain_until
 
-    def start(self, events: PeerEvents) -> None:
+    def start(self, events: PeerCallbacks) -> None:
         """Start to send and receive hints."""
         self._events = events
         self._receiver.start(events)
@@ -156,14 +156,14 @@
                 return peer
         return None
 
-    def holder_of(self, job_id: str) -> Peer | None:
+    def find_job_peer(self, job_id: str) -> Peer | None:
         """Return the live peer that runs a job or holds its results, ``None`` if there is none."""
         for peer in self.live():
-            if peer.answers_for(job_id):
+            if peer.serves_job(job_id):
                 return peer
         return None
 
-    def loads_changed(self) -> None:
+    def schedule_load_hint(self) -> None:
         """Wake the sender, which then sends the loads of this entry if they have changed."""
         self._loads_changed.set()
 
@@ -233,9 +233,9 @@
                         self._send_heartbeat(now)
                     self._announce_to_new_peers()
                 loads = self._own.loads()
-                if loads != sent_loads or self._own.has_untold_counts():
+                if loads != sent_loads or self._own.has_unsent_counts():
                     targets = self._table.targets()
-                    sharers = self._own.shares_upstreams()
+                    sharers = self._own.upstream_sharers()
                     recipients = len(targets.load_recipients(sharers))
                     pause = pace.delay_before_send(now, peers=recipients)
                     if pause <= 0.0:
@@ -275,15 +275,15 @@
     def _send_loads(
         self,
         loads: Mapping[str, Load],
-        targets: Targets,
+        targets: HintTargets,
         sharers: frozenset[str] | None,
         *,
         is_heartbeat: bool,
     ) -> None:
-        self._hints.tell_loads(
+        self._hints.send_loads(
             loads,
             self._own.backlog(),
-            self._own.counts_to_tell(is_heartbeat),
+            self._own.claim_unsent_counts(is_heartbeat),
             targets=targets,
             sharers=sharers,
         )
--- a/packages/node/src/carobspool_node/direct/_request_endings.py
+++ b/packages/node/src/carobspool_node/direct/_request_endings.py
@@ -8,8 +8,8 @@
 
 from carobspool_core import Clock, Millis
 from carobspool_core.direct import retry_delay
-from carobspool_node.direct._attempt import RequestState
 from carobspool_node.direct._failure_answer import failure_answer
+from carobspool_node.direct._request_state import RequestState
 from carobspool_node.direct._telemetry import Telemetry
 
 NO_UPSTREAM_RETRY_AFTER: Millis = 1_000.0
--- a/packages/node/src/carobspool_node/direct/_store_relay.py
+++ b/packages/node/src/carobspool_node/direct/_store_relay.py
@@ -90,7 +90,7 @@
         return self._clock.now() >= self._refused_until
 
     @property
-    def answered_last(self) -> bool:
+    def last_call_answered(self) -> bool:
         """Whether the store answered the last call of this process."""
         return self._refused_until <= 0.0
 
@@ -145,7 +145,7 @@
             answer = self._direct.create(call.key, call.value)
         else:
             answer = self._direct.update(call.key, call.value, version=call.version)
-        return _encode(self._record_outcome(call.op, call.key, answer))
+        return encode_store_result(self._record_outcome(call.op, call.key, answer))
 
     def _call(
         self, operation: str, key: str, direct: Callable[[], StoreResult], extra: dict[str, Any]
@@ -201,21 +201,21 @@
             return
         reason = f"{found.unreadable} objects with unreadable names"
         if isinstance(found, ObjectPage):
-            self._bad_listings.note(prefix, reason)
+            self._bad_listings.report_if_changed(prefix, reason)
         else:
             self._bad_listings.report(prefix, reason)
 
     def _relay(self, operation: str, key: str, extra: dict[str, Any]) -> StoreResult | None:
         peers = [each for each in self._peers().live() if each.store_ok and not each.leaving]
         # Most entries call the store rarely, so what they report of it may be long out of date.
-        peers.sort(key=lambda each: (each.answer_age, -each.heard))
+        peers.sort(key=lambda each: (each.answer_age, -each.last_heard_at))
         body = {"op": operation, "key": key, **extra}
         unknown: StoreResult | None = None
         for peer in peers[:MAX_RELAY_ATTEMPTS]:
             started = time.monotonic()
             try:
                 status, found = self._caller.call(peer, "store", body, RELAY_TIMEOUT)
-                answer = _decode(key, found) if status == 200 else None
+                answer = decode_store_result(key, found) if status == 200 else None
             except (PeerCallError, UnusableRecordError) as error:
                 logging.warning("event=relay_failed peer=%s reason=%r", peer.identity, error)
                 detail = f"relay: {error}"
@@ -249,7 +249,7 @@
     return not is_successful(answer) and answer.failure().fault is StoreFault.UNKNOWN
 
 
-def _encode(answer: StoreResult) -> Json:
+def encode_store_result(answer: StoreResult) -> Json:
     if is_successful(answer):
         found = answer.unwrap()
         if isinstance(found, ObjectPage):
@@ -290,7 +290,7 @@
     return True
 
 
-def _decode(key: str, answer: Json) -> StoreResult:
+def decode_store_result(key: str, answer: Json) -> StoreResult:
     """Decode a peer's answer to a relayed call.
 
     Raises:
--- a/packages/node/src/carobspool_node/direct/_view_exchange.py
+++ b/packages/node/src/carobspool_node/direct/_view_exchange.py
@@ -19,7 +19,7 @@
 from carobspool_core.direct import Upstream, UpstreamsSnapshot
 from carobspool_core.problems import UnusableRecordError
 from carobspool_core.records import JSON_VALUE, Bounds, Record, read_record
-from carobspool_node.direct._declared import CONFIGURATION, Declared
+from carobspool_node.direct._declared import CONFIGURATION, DeclaredState
 from carobspool_node.direct._packed_answer import AnswerPacker, unpack_answer
 from carobspool_node.direct._peer import Peer
 from carobspool_node.direct._peer_calls import PeerCaller, PeerCallError
@@ -93,7 +93,7 @@
     def __init__(
         self,
         clock: Clock,
-        declared: Declared,
+        declared: DeclaredState,
         caller: PeerCaller,
         peer: Callable[[str], Peer | None],
         live: Callable[[], Sequence[Peer]],
@@ -131,14 +131,14 @@
             ],
         }
 
-    def compare(self, name: str, versions: Mapping[str, int]) -> None:
+    def pull_newer_views(self, name: str, versions: Mapping[str, int]) -> None:
         """Fetch the views of which a peer announces a newer version."""
-        for kind in self._declared.newer_kinds(versions):
+        for kind in self._declared.newer_views(versions):
             peer = self._peer(name)
             if peer is not None and self._start_pull(kind):
                 self._pulls.submit(self._pull, kind, peer)
         # A view that still differs after the time of such a call is read from the store.
-        self._declared.compare(versions)
+        self._declared.refresh_if_behind(versions)
 
     def confirm_configuration(self) -> bool:
         """Ask a peer whether this entry has the newest configuration, and fetch a newer one.
--- a/packages/node/src/carobspool_node/organisations/_request_quota.py
+++ b/packages/node/src/carobspool_node/organisations/_request_quota.py
@@ -42,14 +42,14 @@
         self._limits = RequestLimits(clock.now())
         self._peers_updated_at: Millis = float("-inf")
         self._has_limits = False
-        self._has_unsent_counts = False
+        self._has_changed_counts = False
         self._counts_sent_at: Millis = float("-inf")
         self._idle_swept_at: Millis = clock.now()
 
     @property
-    def has_untold(self) -> bool:
+    def has_unsent_counts(self) -> bool:
         """Whether counts are to be sent to the other entries now."""
-        if self._has_unsent_counts:
+        if self._has_changed_counts:
             return True
         now = self._clock.now()
         return (
@@ -70,7 +70,7 @@
             now = self._clock.now()
             self._update_peers(now)
             admission = self._limits.admit(organisation, now)
-            self._has_unsent_counts = self._has_unsent_counts or (
+            self._has_changed_counts = self._has_changed_counts or (
                 admission.granted and self._has_limits
             )
             return admission
@@ -79,14 +79,14 @@
         """Undo the count of a request that no upstream has run."""
         with self._lock:
             self._limits.refund(organisation, self._clock.now())
-            self._has_unsent_counts = self._has_limits
+            self._has_changed_counts = self._has_limits
 
-    def counts_to_tell(self, *, is_heartbeat: bool) -> Mapping[int, int]:
+    def claim_unsent_counts(self, *, is_heartbeat: bool) -> Mapping[int, int]:
         """Return the counts for a hint to all other entries, and record that they are sent now."""
         within = HEARTBEAT_RESEND_TIME if is_heartbeat else HINT_RESEND_TIME
         with self._lock:
             now = self._clock.now()
-            self._has_unsent_counts = False
+            self._has_changed_counts = False
             self._counts_sent_at = now
             return self._limits.recent_counts(now, within=within)
 
--- a/packages/node/tests/test_direct_follow.py
+++ b/packages/node/tests/test_direct_follow.py
@@ -24,7 +24,7 @@
         return super().watch(prefix, revision=revision, timeout=timeout)
 
 
-def _follow(changes: int, gather: float) -> tuple[int, float]:
+def _follow(changes: int, watch_pause: float) -> tuple[int, float]:
     """Change objects one after the other; return the watches made and the longest delay in ms."""
     objects = MemoryObjects()
     writer = MemoryStore(objects, "writer")
@@ -43,7 +43,7 @@
         "hosts/",
         on_listing=lambda objects: None,
         on_change=lambda change: record_delay(change.object.key),
-        gather=gather,
+        watch_pause=watch_pause,
     )
     follower.start()
     time.sleep(0.4)
@@ -60,8 +60,8 @@
     """Twenty hosts start within a second. Guards against one watch per change, with which every
     process made twenty calls. With a pause between watches a process makes about five, and learns
     of each host within the pause."""
-    watches_without_pause, _ = _follow(20, gather=0.0)
-    watches_with_pause, delay = _follow(20, gather=250.0)
+    watches_without_pause, _ = _follow(20, watch_pause=0.0)
+    watches_with_pause, delay = _follow(20, watch_pause=250.0)
     assert watches_without_pause >= 15
     assert watches_with_pause <= 7
     assert delay < 1_000.0
--- a/packages/node/tests/test_direct_foreign_jobs.py
+++ b/packages/node/tests/test_direct_foreign_jobs.py
@@ -79,7 +79,7 @@
 
     identity = "e1#2"
 
-    def holder_of(self, job_id: str) -> None:
+    def find_job_peer(self, job_id: str) -> None:
         return None
 
     def by_identity(self, identity: str) -> None:
--- a/packages/node/tests/test_direct_job_adoption.py
+++ b/packages/node/tests/test_direct_job_adoption.py
@@ -32,7 +32,7 @@
 
     identity = "e2#1"
 
-    def holder_of(self, job_id: str) -> None:
+    def find_job_peer(self, job_id: str) -> None:
         """Return no peer."""
 
     def by_identity(self, identity: str) -> None:
--- a/packages/node/tests/test_direct_neighbourhood.py
+++ b/packages/node/tests/test_direct_neighbourhood.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 
 from carobspool_core.direct import Upstream
-from carobspool_node.direct._neighbourhood import GROUP_CACHE_TIME, Neighbourhood
+from carobspool_node.direct._group_assignment import GROUP_CACHE_TIME, GroupAssignment
 
 
 class _Clock:
@@ -42,8 +42,8 @@
         }
         self.views = {name: self._view(name) for name in self.names}
 
-    def _view(self, name: str) -> Neighbourhood:
-        return Neighbourhood(
+    def _view(self, name: str) -> GroupAssignment:
+        return GroupAssignment(
             self.clock,
             name,
             members=lambda: self.names - {name},
@@ -58,9 +58,9 @@
 def test_all_entries_of_a_small_fleet_use_all_upstreams() -> None:
     fleet = _Fleet(entries=58, engines=30, plain=5)
     view = fleet.views["e0"]
-    assert view.peers() is None
+    assert view.group_members() is None
     assert view.near("engine") is fleet.upstreams["engine"]
-    assert view.reach("engine").far == ()
+    assert view.split_upstreams("engine").far == ()
 
 
 def test_a_large_fleet_splits_only_large_services() -> None:
@@ -68,11 +68,11 @@
     entries keep using the five servers of the plain service."""
     fleet = _Fleet(entries=300, engines=600, plain=5)
     for view in fleet.views.values():
-        reach = view.reach("engine")
-        assert 33 <= len(reach.near) <= 34
-        assert len(reach.near) + len(reach.far) == 600
+        split = view.split_upstreams("engine")
+        assert 33 <= len(split.near) <= 34
+        assert len(split.near) + len(split.far) == 600
         assert len(view.near("plain")) == 5
-        peers = view.peers()
+        peers = view.group_members()
         assert peers is not None and 16 <= len(peers) <= 17
     used = [each.instance for subset in fleet.subsets("engine") for each in subset]
     assert set(used) == {each.instance for each in fleet.upstreams["engine"]}
@@ -88,5 +88,5 @@
     assert gone not in view.near("engine")
     fleet.names = frozenset({"e0", "e1"})
     fleet.clock.time += GROUP_CACHE_TIME
-    assert view.peers() is None
+    assert view.group_members() is None
     assert len(view.near("engine")) == 127
--- a/packages/node/tests/test_direct_peers.py
+++ b/packages/node/tests/test_direct_peers.py
@@ -12,11 +12,11 @@
 from carobspool_core import Millis
 from carobspool_core.direct import OWNERSHIP_UNCERTAIN_TIME, Load, WaitingGroup, short_key_of
 from carobspool_node.direct._announcement import Sender, encode_announcement_for_previous_version
-from carobspool_node.direct._hint_receiver import PeerEvents
+from carobspool_node.direct._hint_receiver import PeerCallbacks
 from carobspool_node.direct._load_hint import encode_load_hint, pack_loads
-from carobspool_node.direct._peer import OwnHint
-from carobspool_node.direct._peer_table import Targets
-from carobspool_node.direct._peers import OwnState, Peers
+from carobspool_node.direct._peer import AnnouncementContent
+from carobspool_node.direct._peer_table import HintTargets
+from carobspool_node.direct._peers import HintSources, Peers
 from carobspool_node.direct._telemetry import Telemetry
 
 TICK: Millis = 100.0
@@ -44,16 +44,16 @@
             name="e1",
             incarnation="1",
             address=("127.0.0.1", 0),
-            own=OwnState(
+            own=HintSources(
                 loads=dict,
                 backlog=tuple,
                 urgent=lambda: None,
                 describe=_own_hint,
-                shares_upstreams=lambda: None,
+                upstream_sharers=lambda: None,
                 identities_by_key=lambda: {short_key_of(ENGINE): ENGINE},
             ),
         )
-        events = PeerEvents(ended=self.ended.extend, loads=self._record_loads)
+        events = PeerCallbacks(ended=self.ended.extend, loads=self._record_loads)
         self.peers._events = self.peers._receiver._events = events
         self.hear()
         self.wait(OWNERSHIP_UNCERTAIN_TIME + TICK, hearing=True)
@@ -88,8 +88,8 @@
             self.peers._check_silence()
 
 
-def _own_hint() -> OwnHint:
-    return OwnHint(
+def _own_hint() -> AnnouncementContent:
+    return AnnouncementContent(
         loads={},
         failures={},
         open_jobs=frozenset(),
@@ -219,18 +219,18 @@
         }
     )
     for job_id in ("j", "k"):
-        assert entry.peers.holder_of(job_id) is not None
+        assert entry.peers.find_job_peer(job_id) is not None
 
 
 def test_each_version_is_sent_hints_that_it_can_read(entry: _Entry) -> None:
     """An entry of the previous version reads neither load hints nor packed loads."""
     entry.hear()
-    assert entry.peers._table.targets() == Targets(
-        current={}, counting=frozenset(), others=[("127.0.0.1", 1)]
+    assert entry.peers._table.targets() == HintTargets(
+        current={}, count_readers=frozenset(), others=[("127.0.0.1", 1)]
     )
     entry.hear(c=1)
-    assert entry.peers._table.targets() == Targets(
-        current={"e2": ("127.0.0.1", 1)}, counting=frozenset(), others=[]
+    assert entry.peers._table.targets() == HintTargets(
+        current={"e2": ("127.0.0.1", 1)}, count_readers=frozenset(), others=[]
     )
     sender = Sender(name="e1", incarnation="1", address=("127.0.0.1", 7))
     hint = replace(_own_hint(), loads={ENGINE: Load(2, 1)}, open_jobs=frozenset({"j"}))
--- a/packages/node/tests/test_direct_relayed.py
+++ b/packages/node/tests/test_direct_relayed.py
@@ -8,7 +8,7 @@
 
 from carobspool_core import ObjectPage, StoredObject
 from carobspool_core.problems import UnusableRecordError
-from carobspool_node.direct._store_relay import _decode, _encode
+from carobspool_node.direct._store_relay import decode_store_result, encode_store_result
 
 
 def test_an_object_that_cannot_be_encoded_does_not_spoil_a_relayed_listing() -> None:
@@ -18,8 +18,8 @@
         StoredObject(key="servers/c", version=3, value={"n": 3}),
     ]
     page = ObjectPage(revision=9, objects=objects, more=False, unreadable=2)
-    sent = cbor2.loads(cbor2.dumps(_encode(Success(page))))
-    found = _decode("servers/", sent).unwrap()
+    sent = cbor2.loads(cbor2.dumps(encode_store_result(Success(page))))
+    found = decode_store_result("servers/", sent).unwrap()
     assert [each.value for each in found.objects] == [{"n": 1}, None, {"n": 3}]
     assert (found.revision, found.unreadable) == (9, 2)
 
@@ -28,7 +28,7 @@
     good = ["servers/a", 1, {"n": 1}]
     bad = [None, [], ["servers/b"], ["servers/b", "1", {}], [7, 1, {}], ["jobs/j", 1, {}]]
     answer = {"revision": 9, "more": False, "objects": [*bad, good]}
-    found = _decode("servers/", answer).unwrap()
+    found = decode_store_result("servers/", answer).unwrap()
     assert [each.key for each in found.objects] == ["servers/a"]
     assert found.unreadable == len(bad)
 
@@ -36,4 +36,4 @@
 @pytest.mark.parametrize("answer", [None, [], {}, {"objects": []}, {"fault": "new"}, {"value": 1}])
 def test_an_invalid_answer_of_a_peer_is_rejected(answer: object) -> None:
     with pytest.raises(UnusableRecordError):
-        _decode("servers/", answer)
+        decode_store_result("servers/", answer)
--- a/packages/node/tests/test_direct_store_relay.py
+++ b/packages/node/tests/test_direct_store_relay.py
@@ -55,7 +55,7 @@
 class _Peers:
     def live(self) -> list[Peer]:
         return [
-            Peer(name=name, incarnation="1", address=("127.0.0.1", 1), heard=1.0)
+            Peer(name=name, incarnation="1", address=("127.0.0.1", 1), last_heard_at=1.0)
             for name in ("b", "c")
         ]
 
@@ -134,12 +134,12 @@
     started = time.monotonic()
     assert store.create("jobs/a", {"x": 1}) == MADE
     assert time.monotonic() - started < 1.0
-    assert store.answered_last
+    assert store.last_call_answered
     direct.late.set()
     until = time.monotonic() + 5.0
-    while store.answered_last and time.monotonic() < until:
+    while store.last_call_answered and time.monotonic() < until:
         time.sleep(0.01)
-    assert not store.answered_last
+    assert not store.last_call_answered
 
 
 @pytest.mark.parametrize(
--- a/packages/node/tests/test_direct_view_exchange.py
+++ b/packages/node/tests/test_direct_view_exchange.py
@@ -43,10 +43,10 @@
     def upstreams_view(self) -> tuple[int, UpstreamsSnapshot]:
         return 9, UpstreamsSnapshot(listed=[ENGINE], lapsed=[(ENGINE, 120.0)])
 
-    def newer_kinds(self, versions: Mapping[str, int]) -> list[str]:
+    def newer_views(self, versions: Mapping[str, int]) -> list[str]:
         return ["configuration", "upstreams"]
 
-    def compare(self, versions: Mapping[str, int]) -> None:
+    def refresh_if_behind(self, versions: Mapping[str, int]) -> None:
         self.compared += 1
 
     def adopt_configuration(self, revision: int, value: Json) -> bool:
@@ -71,7 +71,7 @@
 
 
 def _exchange(declared: _Declared, caller: _Caller) -> ViewExchange:
-    peer = Peer(name="e2", incarnation="1", address=("127.0.0.1", 1), heard=0.0)
+    peer = Peer(name="e2", incarnation="1", address=("127.0.0.1", 1), last_heard_at=0.0)
     return ViewExchange(
         boottime_clock(),
         declared,  # type: ignore[arg-type]
@@ -82,7 +82,7 @@
 
 
 def _compare(exchange: ViewExchange) -> None:
-    exchange.compare("e2", {})
+    exchange.pull_newer_views("e2", {})
     exchange.close()
 
 
@@ -132,7 +132,7 @@
     caller = _Caller(fail)
     exchange = _exchange(_Declared(), caller)
     _compare(exchange)
-    exchange.compare("e3", {})
+    exchange.pull_newer_views("e3", {})
     assert caller.calls <= 2
 
 
--- a/packages/node/tests/test_hint_sender.py
+++ b/packages/node/tests/test_hint_sender.py
@@ -18,14 +18,14 @@
     read_counts_hint,
     read_load_hint,
 )
-from carobspool_node.direct._peer_table import Targets
+from carobspool_node.direct._peer_table import HintTargets
 from carobspool_node.organisations import unpack_counts
 
 COUNTS = {7: 3, 9: 65_535}
 OWN = ("127.0.0.1", 1)
-TARGETS = Targets(
+TARGETS = HintTargets(
     current={"old": ("old", 1), "near": ("near", 1), "far": ("far", 1)},
-    counting=frozenset({"near", "far"}),
+    count_readers=frozenset({"near", "far"}),
     others=[],
 )
 
@@ -48,7 +48,7 @@
 
 def _tell(clock: _Clock, sharers: frozenset[str] | None, sender: HintSender, sock: _Socket) -> Any:
     sock.sent.clear()
-    sender.tell_loads({"u": Load(1, 0)}, (), COUNTS, targets=TARGETS, sharers=sharers)
+    sender.send_loads({"u": Load(1, 0)}, (), COUNTS, targets=TARGETS, sharers=sharers)
     return dict(sock.sent)
 
 
--- a/tests/adapter/border_cases.py
+++ b/tests/adapter/border_cases.py
@@ -36,7 +36,7 @@
     read_results,
     read_store_call,
 )
-from carobspool_node.direct._store_relay import _decode, _encode
+from carobspool_node.direct._store_relay import decode_store_result, encode_store_result
 from carobspool_platform._configuration import read_configuration
 from carobspool_platform._registrations import MAX_SLOTS, read_upstream
 from carobspool_platform._store_answers import (
@@ -266,8 +266,8 @@
 
 
 def _check_relayed(data: bytes) -> None:
-    found = _decode("servers/", decode_cbor(data))
-    cbor2.dumps(_encode(found))
+    found = decode_store_result("servers/", decode_cbor(data))
+    cbor2.dumps(encode_store_result(found))
 
 
 def _check_listing(data: bytes) -> None:
@@ -342,7 +342,11 @@
     "peer call": (_check_call, broken_cbor(*CALLS) | st.binary(max_size=64), _tolerate),
     "peer call fields": (read_store_call, near(*CALLS) | VALUES, _tolerate),
     "relayed": (_check_relayed, broken_cbor(RELAYED) | st.binary(max_size=64), _tolerate),
-    "relayed fields": (lambda value: _decode("servers/", value), near(RELAYED), _tolerate),
+    "relayed fields": (
+        lambda value: decode_store_result("servers/", value),
+        near(RELAYED),
+        _tolerate,
+    ),
     "listing": (_check_listing, broken_json(PAGE) | st.binary(max_size=64), _tolerate_answer),
     "neighbours": (_check_neighbours, broken_json(REGISTRATION) | st.binary(max_size=64), _strict),
     "watch": (_check_watch, broken_json(EVENTS) | st.binary(max_size=64), _tolerate_answer),
