--- a/packages/node/src/carobspool_node/direct/_callers.py
+++ b/packages/node/src/carobspool_node/direct/_callers.py
@@ -166,8 +166,10 @@
             items=tuple(self._dialect.job_items(request.body)),
             organisation=access.owner,
         )
-        unowned = qualified_job_id(request.request_id, None) if access.owner else None
-        outcome = self._jobs.submit(job, route, unowned=unowned)
+        id_without_organisation = (
+            qualified_job_id(request.request_id, None) if access.owner else None
+        )
+        outcome = self._jobs.submit(job, route, id_without_organisation=id_without_organisation)
         self._record_job_call(request, "submit", outcome)
         if outcome is Outcome.DONE:
             caller.answer(202, [], b"")
@@ -230,8 +232,8 @@
         found = act(qualified_job_id(call.job_id, owner))
         if found is not Outcome.NOT_FOUND:
             return found
-        unowned = self._jobs.unowned(call.job_id, owner)
-        return found if unowned is None else act(unowned)
+        id_without_organisation = self._jobs.find_job_without_organisation(call.job_id, owner)
+        return found if id_without_organisation is None else act(id_without_organisation)
 
     def _retry_after(self, request: CallerRequest, limit: Millis) -> Millis:
         deadline = request.time_limit(self._names.deadline, limit)
--- a/packages/node/src/carobspool_node/direct/_entry.py
+++ b/packages/node/src/carobspool_node/direct/_entry.py
@@ -154,7 +154,7 @@
             self._clock,
             records,
             settings.job_retention,
-            on_duty=lambda: self._membership.has_duty(RETENTION_DUTY),
+            has_duty=lambda: self._membership.has_duty(RETENTION_DUTY),
         )
         self._exit = EntryExit(
             self._clock,
@@ -169,7 +169,7 @@
             self._runner,
             self._peers,
             self._telemetry,
-            peers_settled=lambda: self._recovery.peers_settled(),
+            are_peers_known=lambda: self._recovery.are_peers_known(),
         )
         self._recovery = JobRecovery(
             self._clock,
@@ -233,11 +233,11 @@
         self._peers.start(
             PeerCallbacks(
                 loads=self._adopt_peer_loads,
-                backlog=self._runner.take_backlog,
+                backlog=self._runner.update_peer_backlog,
                 versions=self._compare_versions,
                 lost=self._recovery.peer_lost,
                 gone=self._recovery.peer_gone,
-                ended=self._runner.told_ended,
+                ended=self._runner.handle_ended_jobs,
                 counts=self._quota.receive,
             )
         )
--- a/packages/node/src/carobspool_node/direct/_exit.py
+++ b/packages/node/src/carobspool_node/direct/_exit.py
@@ -113,7 +113,7 @@
         ]
         if not should_release_jobs(candidates, time_left=time_left, silent_after=SILENT_AFTER):
             return True
-        self._runner.let_go(min(HANDOVER_COMMIT_TIMEOUT, time_left))
+        self._runner.release_unfinished_jobs(min(HANDOVER_COMMIT_TIMEOUT, time_left))
         self._peers.announce()
         return False
 
--- a/packages/node/src/carobspool_node/direct/_job_adoption.py
+++ b/packages/node/src/carobspool_node/direct/_job_adoption.py
@@ -55,7 +55,8 @@
         runner: Runs the owned jobs.
         peers: The other entries.
         telemetry: Counts takeovers and measures how long jobs had no owner.
-        peers_settled: Returns whether this entry has run for long enough to know which peers live.
+        are_peers_known: Returns whether this entry has run for long enough to know which peers
+            live.
     """
 
     def __init__(
@@ -66,14 +67,14 @@
         peers: Peers,
         telemetry: Telemetry,
         *,
-        peers_settled: Callable[[], bool],
+        are_peers_known: Callable[[], bool],
     ) -> None:
         self._clock = clock
         self._catalog = catalog
         self._runner = runner
         self._peers = peers
         self._telemetry = telemetry
-        self._peers_settled = peers_settled
+        self._are_peers_known = are_peers_known
         self._takeover_lock = threading.Lock()
         self._orphans: dict[str, _Orphan] = {}
         self._orphans_lock = threading.Lock()
@@ -114,7 +115,7 @@
         """
         if self._runner.get(job_id) is not None:
             return True
-        settled = self._peers_settled()
+        settled = self._are_peers_known()
         if lost_owner is None and not settled:
             return False
         job = self._catalog.read_input(job_id)
--- a/packages/node/src/carobspool_node/direct/_job_records.py
+++ b/packages/node/src/carobspool_node/direct/_job_records.py
@@ -217,7 +217,7 @@
         removed = self._store.delete(stored.key, version=stored.version)
         if not is_successful(removed):
             return removed.failure()
-        for name, count in _named_pieces(stored.value):
+        for name, count in referenced_pieces(stored.value):
             for number in range(count):
                 self._remove_piece(f"{PIECES}{name}.{number}")
         return None
@@ -331,7 +331,7 @@
     return tuple(found)
 
 
-def _named_pieces(value: Json) -> list[tuple[str, int]]:
+def referenced_pieces(value: Json) -> list[tuple[str, int]]:
     """Return the name and number of the pieces that a record references.
 
     An unusable record yields none, and its pieces stay in the store.
--- a/packages/node/src/carobspool_node/direct/_job_recovery.py
+++ b/packages/node/src/carobspool_node/direct/_job_recovery.py
@@ -81,7 +81,7 @@
             threading.Thread(target=self._recover_after_start, name="recover", daemon=True).start()
         threading.Thread(target=self._adopt_orphans, name="orphans", daemon=True).start()
 
-    def peers_settled(self) -> bool:
+    def are_peers_known(self) -> bool:
         """Whether this entry has run for long enough to know which peers live."""
         return self._clock.now() - self._started >= SETTLE_TIME
 
--- a/packages/node/src/carobspool_node/direct/_job_retention.py
+++ b/packages/node/src/carobspool_node/direct/_job_retention.py
@@ -28,7 +28,7 @@
         clock: The process's clock.
         records: The records in the store.
         retention: How long results stay readable after a job was seen finished, in milliseconds.
-        on_duty: Returns whether this entry is the one that sweeps on behalf of all.
+        has_duty: Returns whether this entry is the one that sweeps on behalf of all.
     """
 
     def __init__(
@@ -36,12 +36,12 @@
         clock: Clock,
         records: JobRecords,
         retention: Millis,
-        on_duty: Callable[[], bool],
+        has_duty: Callable[[], bool],
     ) -> None:
         self._clock = clock
         self._records = records
         self._retention = retention
-        self._on_duty = on_duty
+        self._has_duty = has_duty
         self._finished_since: dict[str, Millis] = {}
         self._next_sweep: Millis = clock.now() + retention
 
@@ -55,7 +55,7 @@
         if now < self._next_sweep:
             return 0
         self._next_sweep = now + self._retention
-        if not self._on_duty():
+        if not self._has_duty():
             self._finished_since.clear()
             return 0
         return self._sweep(now)
--- a/packages/node/src/carobspool_node/direct/_job_runner.py
+++ b/packages/node/src/carobspool_node/direct/_job_runner.py
@@ -114,11 +114,11 @@
         """
         self._stopped.set()
         self._wake.set()
-        self.let_go(timeout)
+        self.release_unfinished_jobs(timeout)
         for job in self.owned():
             job.mark_lost()
 
-    def let_go(self, timeout: Millis) -> None:
+    def release_unfinished_jobs(self, timeout: Millis) -> None:
         """Commit the progress of the unfinished jobs and release them to other entries.
 
         Args:
@@ -158,7 +158,7 @@
         jobs = self.owned()
         return frozenset(job.job_id for job in jobs if job.finished is finished and not job.lost)
 
-    def told_ended(self, job_ids: Iterable[str]) -> None:
+    def handle_ended_jobs(self, job_ids: Iterable[str]) -> None:
         """Handle a peer's report that jobs were ended in the store, by verifying each at once."""
         for job_id in job_ids:
             job = self.get(job_id)
@@ -170,7 +170,7 @@
         wall = wall_millis()
         return group_by_start_order(each.start_order_at(wall) for each in self._waiting)
 
-    def take_backlog(self, peer: str, groups: Sequence[WaitingGroup]) -> None:
+    def update_peer_backlog(self, peer: str, groups: Sequence[WaitingGroup]) -> None:
         """Record the waiting items that a peer reports."""
         with self._backlog_lock:
             self._backlog.update_peer(peer, groups, self._clock.now())
--- a/packages/node/src/carobspool_node/direct/_jobs.py
+++ b/packages/node/src/carobspool_node/direct/_jobs.py
@@ -103,19 +103,21 @@
         self._peers = peers
         self._caller = caller
 
-    def submit(self, job: JobInput, route: Route, *, unowned: str | None = None) -> Outcome:
+    def submit(
+        self, job: JobInput, route: Route, *, id_without_organisation: str | None = None
+    ) -> Outcome:
         """Accept a job; repeated submissions of the same job have no further effect.
 
         Args:
             job: The job. Its owner and submission time are set here.
             route: The route of the job.
-            unowned: Id under which the job is stored if it was accepted before organisations were
-                declared.
+            id_without_organisation: Id under which the job is stored if it was accepted before
+                organisations were declared.
         """
         job_id = job.job_id
         if self._is_known_locally(job_id):
             return Outcome.DONE
-        if unowned is not None and self._is_known_locally(unowned):
+        if id_without_organisation is not None and self._is_known_locally(id_without_organisation):
             return Outcome.DONE
         tokens = sum(item.tokens for item in job.items)
         if not self._is_within_quota(route, job.organisation, tokens):
@@ -136,7 +138,7 @@
             return Outcome.UNKNOWN
         return Outcome.UNAVAILABLE
 
-    def unowned(self, job_id: str, organisation: str | None) -> str | None:
+    def find_job_without_organisation(self, job_id: str, organisation: str | None) -> str | None:
         """Return the qualified id of a stored job with this id that belongs to no organisation.
 
         Such jobs were accepted while no organisations were declared, and any API key may access
@@ -157,7 +159,7 @@
         the owner, and the store.
         """
         until = self._clock.now() + wait
-        page = self.own_results(job_id, after, wait)
+        page = self.results_if_owned(job_id, after, wait)
         if page is not None:
             return page
         finished = self._catalog.cached_finished(job_id)
@@ -170,7 +172,7 @@
                 return page
         return self._results_from_store(job_id, after)
 
-    def own_results(self, job_id: str, after: int, wait: Millis) -> ResultsPage | None:
+    def results_if_owned(self, job_id: str, after: int, wait: Millis) -> ResultsPage | None:
         """Return results of a job that this entry owns, or ``None`` if it does not own the job."""
         job = self._runner.get(job_id)
         if job is None or job.lost:
@@ -194,7 +196,7 @@
 
     def end(self, job_id: str) -> Outcome:
         """End a job, so that no further items of it start."""
-        own = self.end_own(job_id)
+        own = self.end_if_owned(job_id)
         if own is not None:
             return own
         peer = self._peers.find_job_peer(job_id)
@@ -215,7 +217,7 @@
             return False
         return status == 200
 
-    def end_own(self, job_id: str) -> Outcome | None:
+    def end_if_owned(self, job_id: str) -> Outcome | None:
         """End a job that this entry owns; return ``None`` if it does not own the job."""
         job = self._runner.get(job_id)
         if job is None or job.lost:
--- a/packages/node/src/carobspool_node/direct/_peer_api.py
+++ b/packages/node/src/carobspool_node/direct/_peer_api.py
@@ -66,7 +66,7 @@
             return self._results(read_record(ResultsCall, body))
         if request.path == "/end":
             call = read_record(EndCall, body)
-            return (200 if self._jobs.end_own(call.id) is Outcome.DONE else 409), None
+            return (200 if self._jobs.end_if_owned(call.id) is Outcome.DONE else 409), None
         if request.path == "/store":
             return 200, self._store.serve_relay(read_store_call(body))
         if request.path == "/view":
@@ -74,7 +74,7 @@
         return 404, None
 
     def _results(self, call: ResultsCall) -> tuple[int, Json]:
-        page = self._jobs.own_results(call.id, call.after, call.wait)
+        page = self._jobs.results_if_owned(call.id, call.after, call.wait)
         if page is None:
             return 409, None
         results = [[each.item_id, each.outcome.value, each.text] for each in page.results]
--- a/packages/node/tests/test_direct_foreign_jobs.py
+++ b/packages/node/tests/test_direct_foreign_jobs.py
@@ -101,7 +101,7 @@
             self.runner,  # type: ignore[arg-type]
             _Peers(),  # type: ignore[arg-type]
             Telemetry(),
-            peers_settled=lambda: True,
+            are_peers_known=lambda: True,
         )
 
     def write(self, prefix: str, values: Iterable[Json]) -> None:
@@ -139,7 +139,7 @@
     assert is_successful(system.records.write_progress("done", done, version=0))
     assert system.adoption.take_over_stored_jobs(lambda job_id, owner: True)
     assert set(system.runner.jobs) == {"aaa", "zzz"}
-    retention = JobRetention(system.clock, system.records, RETENTION, on_duty=lambda: True)
+    retention = JobRetention(system.clock, system.records, RETENTION, has_duty=lambda: True)
     removed = []
     for sweep in (1, 2):
         system.clock.at = sweep * (RETENTION + 1.0)
@@ -180,7 +180,7 @@
     assert is_successful(system.records.write_progress("j", progress, version=0))
     store = _UnreadableNamesStore(system.store)
     records = JobRecords(store, 10_000)  # type: ignore[arg-type]
-    retention = JobRetention(system.clock, records, RETENTION, on_duty=lambda: True)
+    retention = JobRetention(system.clock, records, RETENTION, has_duty=lambda: True)
     for sweep in (1, 2, 3):
         system.clock.at = sweep * (RETENTION + 1.0)
         assert retention.sweep_if_due() == 0
--- a/packages/node/tests/test_direct_job_adoption.py
+++ b/packages/node/tests/test_direct_job_adoption.py
@@ -55,7 +55,7 @@
         runner,  # type: ignore[arg-type]
         _NoPeers(),  # type: ignore[arg-type]
         Telemetry(),
-        peers_settled=lambda: False,
+        are_peers_known=lambda: False,
     )
     return adoption, runner
 
--- a/packages/node/tests/test_direct_retention.py
+++ b/packages/node/tests/test_direct_retention.py
@@ -30,9 +30,9 @@
         self.store = MemoryStore(self.objects, "e1")
         self.records = JobRecords(self.store, 10_000)
         self.clock = _Clock()
-        self.on_duty = True
+        self.has_duty = True
         self.retention = JobRetention(
-            self.clock, self.records, RETENTION, on_duty=lambda: self.on_duty
+            self.clock, self.records, RETENTION, has_duty=lambda: self.has_duty
         )
 
     def job(self, job_id: str, *, done: int, ended: bool = False, text: str = "t") -> None:
@@ -86,9 +86,9 @@
 
 def test_entry_that_is_not_on_duty_removes_nothing(system: _System) -> None:
     system.job("j", done=2)
-    system.on_duty = False
+    system.has_duty = False
     assert (system.sweep_at(121), system.sweep_at(242)) == (0, 0)
-    system.on_duty = True
+    system.has_duty = True
     assert system.sweep_at(363) == 0
     assert system.sweep_at(484) == 1
 
--- a/tests/adapter/border_cases.py
+++ b/tests/adapter/border_cases.py
@@ -26,7 +26,7 @@
 )
 from carobspool_core.problems import UnusableRecordError
 from carobspool_core.records import read_record
-from carobspool_node.direct._job_records import _named_pieces, _segments
+from carobspool_node.direct._job_records import _segments, referenced_pieces
 from carobspool_node.direct._peer_messages import (
     Announcement,
     EndCall,
@@ -247,7 +247,7 @@
 
 
 def _check_pieces(value: Json) -> None:
-    for name, count in _named_pieces(value):
+    for name, count in referenced_pieces(value):
         assert isinstance(name, str) and count <= 10_000
 
 
