--- a/packages/node/src/carobspool_node/direct/_channel.py
+++ b/packages/node/src/carobspool_node/direct/_channel.py
@@ -15,10 +15,10 @@
 
 from carobspool_core import Clock, Millis
 from carobspool_node.direct._errors import (
+    CallCancelledError,
     CallerGoneError,
     ConnectionBrokenError,
     DeadlinePassedError,
-    RunCancelledError,
 )
 
 READ_BYTES = 65_536
@@ -59,7 +59,7 @@
                 _shut_down_socket(sock)
 
     def cancel(self, reason: str) -> None:
-        """Shut down the call's socket; the call ends with `RunCancelledError`.
+        """Shut down the call's socket; the call ends with `CallCancelledError`.
 
         Args:
             reason: Reason of the cancellation, for the log.
@@ -156,7 +156,7 @@
             ConnectionBrokenError: The peer closed the connection or sent invalid HTTP.
             DeadlinePassedError: ``deadline`` has passed.
             CallerGoneError: The watched caller has disconnected.
-            RunCancelledError: The call was cancelled.
+            CallCancelledError: The call was cancelled.
         """
         while True:
             try:
@@ -263,7 +263,7 @@
 
     def _raise_if_cancelled(self) -> None:
         if self._cancellation is not None and self._cancellation.cancelled:
-            raise RunCancelledError("cancelled")
+            raise CallCancelledError("cancelled")
 
 
 def connect(address: tuple[str, int], timeout: Millis, clock: Clock) -> Channel:
--- a/packages/node/src/carobspool_node/direct/_errors.py
+++ b/packages/node/src/carobspool_node/direct/_errors.py
@@ -29,5 +29,5 @@
     """The caller disconnected, or stopped reading, while its request was served."""
 
 
-class RunCancelledError(NodeError):
+class CallCancelledError(NodeError):
     """Another task of this process cancelled the call."""
--- a/packages/node/src/carobspool_node/direct/_forward.py
+++ b/packages/node/src/carobspool_node/direct/_forward.py
@@ -26,9 +26,9 @@
 )
 from carobspool_node.direct._caller_connection import CallerConnection
 from carobspool_node.direct._errors import (
+    CallCancelledError,
     CallerGoneError,
     DeadlinePassedError,
-    RunCancelledError,
 )
 from carobspool_node.direct._forwarded_request import upstream_request
 from carobspool_node.direct._group_assignment import UpstreamSplit
@@ -38,7 +38,7 @@
     HeaderNames,
     Headers,
     UpstreamHead,
-    end_to_end,
+    end_to_end_headers,
 )
 from carobspool_node.direct._request_endings import RequestEndings
 from carobspool_node.direct._request_state import RequestState
@@ -252,7 +252,7 @@
             self._loads.record_failure(upstream)
             state.last_failure = "no answer in the time of one try"
             return False
-        except RunCancelledError as error:
+        except CallCancelledError as error:
             self._record_failure(state, upstream, str(error), sent=True)
             return False
         except CallerGoneError:
@@ -353,7 +353,7 @@
     ) -> None:
         splitter = EventSplitter()
         silence = STREAM_IDLE_TIMEOUT if state.route.resumable else None
-        for data in call.body(state.deadline, silence=silence):
+        for data in call.body(state.deadline, idle_timeout=silence):
             self._loads.record_activity(upstream)
             pieces = []
             for event in splitter.feed(data):
@@ -370,7 +370,9 @@
             if not state.streaming:
                 state.streaming = True
                 state.caller.start_stream(head.status, _answer_headers(head), head.reason)
-                self._telemetry.time("first_event", self._clock.now() - state.request.arrived)
+                self._telemetry.observe_duration(
+                    "first_event", self._clock.now() - state.request.arrived
+                )
             state.caller.send_piece(b"".join(pieces))
         if splitter.incomplete:
             raise _StreamBrokenError("the stream ends in the middle of an event")
@@ -384,4 +386,4 @@
 
 
 def _answer_headers(head: UpstreamHead) -> Headers:
-    return end_to_end(head.headers, without=(b"content-length",))
+    return end_to_end_headers(head.headers, without=(b"content-length",))
--- a/packages/node/src/carobspool_node/direct/_forwarded_request.py
+++ b/packages/node/src/carobspool_node/direct/_forwarded_request.py
@@ -4,7 +4,7 @@
 
 from carobspool_core import Millis
 from carobspool_core.direct import Upstream
-from carobspool_node.direct._messages import HeaderNames, end_to_end, with_organisation
+from carobspool_node.direct._messages import HeaderNames, end_to_end_headers, replace_credentials
 from carobspool_node.direct._request_state import RequestState
 from carobspool_node.direct._upstream_calls import UpstreamRequest
 
@@ -20,11 +20,11 @@
     has received.
     """
     request = state.request
-    headers = end_to_end(
+    headers = end_to_end_headers(
         request.headers, without=(names.deadline, names.expect_instance, b"content-length")
     )
     left = max(1, int(state.deadline - now))
-    headers = with_organisation(headers, names, state.organisation)
+    headers = replace_credentials(headers, names, state.organisation)
     headers.append((names.deadline, str(left).encode()))
     headers.append((names.expect_instance, upstream.instance.encode()))
     if state.last_event is not None:
--- a/packages/node/src/carobspool_node/direct/_item_run.py
+++ b/packages/node/src/carobspool_node/direct/_item_run.py
@@ -8,15 +8,15 @@
 
 from carobspool_core import Clock, Millis
 from carobspool_core.direct import EventSplitter, ItemWork, JobInput, Upstream
-from carobspool_node.direct._errors import DeadlinePassedError, RunCancelledError
+from carobspool_node.direct._errors import CallCancelledError, DeadlinePassedError
 from carobspool_node.direct._in_flight import BatchRun
 from carobspool_node.direct._loads import LoadTable
 from carobspool_node.direct._messages import (
     HeaderNames,
     Headers,
     UpstreamHead,
-    end_to_end,
-    with_organisation,
+    end_to_end_headers,
+    replace_credentials,
 )
 from carobspool_node.direct._upstream_calls import (
     CallFailedError,
@@ -94,7 +94,7 @@
         except DeadlinePassedError:
             self._loads.record_failure(upstream)
             return RunOutcome(end=RunEnd.BROKEN, detail="deadline exceeded")
-        except RunCancelledError:
+        except CallCancelledError:
             return RunOutcome(end=RunEnd.INTERRUPTED, detail=run.cancellation.reason)
         finally:
             call.close()
@@ -112,7 +112,7 @@
             call.read_body(deadline)
             return _refusal_outcome(head.status)
         splitter = EventSplitter()
-        for data in call.body(deadline, silence=MAX_EVENT_GAP):
+        for data in call.body(deadline, idle_timeout=MAX_EVENT_GAP):
             self._loads.record_activity(upstream)
             for event in splitter.feed(data):
                 if event.event_id is None:
@@ -131,7 +131,7 @@
         item = work.item
         own = (names.request_id, names.expect_instance, b"host", b"content-length")
         given: Headers = [(key.encode(), value.encode()) for key, value in item.headers.items()]
-        given = with_organisation(end_to_end(given, without=own), names, job.organisation)
+        given = replace_credentials(end_to_end_headers(given, without=own), names, job.organisation)
         headers = [(b"Host", job.host.encode()), *given]
         headers.append((names.request_id, item.item_id.encode()))
         headers.append((names.expect_instance, upstream.instance.encode()))
--- a/packages/node/src/carobspool_node/direct/_job_adoption.py
+++ b/packages/node/src/carobspool_node/direct/_job_adoption.py
@@ -170,7 +170,7 @@
             elif is_assigned(job_id) or now - orphan.since > FALLBACK_ADOPTION_DELAY:
                 resolved = self.ensure_owner(job_id, orphan.reason, lost_owner=orphan.lost_owner)
                 if resolved and self._runner.get(job_id) is not None:
-                    self._telemetry.time("job_orphan", self._clock.now() - orphan.since)
+                    self._telemetry.observe_duration("job_orphan", self._clock.now() - orphan.since)
             else:
                 resolved = False
             if resolved:
--- a/packages/node/src/carobspool_node/direct/_job_runner.py
+++ b/packages/node/src/carobspool_node/direct/_job_runner.py
@@ -225,7 +225,7 @@
         try:
             done = job.commit()
             took = self._clock.now() - started
-            self._telemetry.time("job_commit", took)
+            self._telemetry.observe_duration("job_commit", took)
             with job.lock:
                 committed = len(job.work.committed)
                 left = len(job.work.open_items())
@@ -350,7 +350,7 @@
                 events = work.last_event - before
                 self._pace.record_run(events=events, duration=self._clock.now() - started)
             self._apply_outcome(job, work, route, outcome)
-            self._telemetry.time("item_run", self._clock.now() - started)
+            self._telemetry.observe_duration("item_run", self._clock.now() - started)
             self._count_item(job, work, outcome.end.value, outcome.detail, upstream, run)
         except Exception:  # noqa: BLE001
             logging.exception("event=item_failed job=%s item=%s", job.job_id, work.item.item_id)
--- a/packages/node/src/carobspool_node/direct/_messages.py
+++ b/packages/node/src/carobspool_node/direct/_messages.py
@@ -109,7 +109,7 @@
     return None
 
 
-def with_organisation(headers: Headers, names: HeaderNames, organisation: str | None) -> Headers:
+def replace_credentials(headers: Headers, names: HeaderNames, organisation: str | None) -> Headers:
     """Return headers with the caller's API key replaced by its organisation's name.
 
     Args:
@@ -127,7 +127,9 @@
     return found
 
 
-def end_to_end(headers: Iterable[tuple[bytes, bytes]], *, without: Iterable[bytes] = ()) -> Headers:
+def end_to_end_headers(
+    headers: Iterable[tuple[bytes, bytes]], *, without: Iterable[bytes] = ()
+) -> Headers:
     """Return the headers to forward: all but hop-by-hop headers and those in ``without``."""
     headers = list(headers)
     connection_options = find_header(headers, b"connection") or b""
--- a/packages/node/src/carobspool_node/direct/_metrics.py
+++ b/packages/node/src/carobspool_node/direct/_metrics.py
@@ -64,7 +64,7 @@
         with self._lock:
             self._counts[name][key] += value
 
-    def time(self, name: str, duration: Millis) -> None:
+    def observe_duration(self, name: str, duration: Millis) -> None:
         """Record a duration in milliseconds."""
         seconds = duration / 1000.0
         latencies = self._times[name]
--- a/packages/node/src/carobspool_node/direct/_peer_calls.py
+++ b/packages/node/src/carobspool_node/direct/_peer_calls.py
@@ -9,7 +9,7 @@
 
 from carobspool_core import Clock, Millis
 from carobspool_core.direct import Upstream
-from carobspool_node.direct._errors import DeadlinePassedError, RunCancelledError
+from carobspool_node.direct._errors import CallCancelledError, DeadlinePassedError
 from carobspool_node.direct._messages import HeaderNames
 from carobspool_node.direct._peer import Peer
 from carobspool_node.direct._peer_messages import decode_cbor
@@ -68,7 +68,7 @@
             head = call.start(request, deadline)
             answer = call.read_body(deadline)
             return head.status, decode_cbor(answer) if answer else None
-        except (CallFailedError, DeadlinePassedError, RunCancelledError, ValueError) as error:
+        except (CallFailedError, DeadlinePassedError, CallCancelledError, ValueError) as error:
             raise PeerCallError(str(error)) from error
         finally:
             call.close()
--- a/packages/node/src/carobspool_node/direct/_request_endings.py
+++ b/packages/node/src/carobspool_node/direct/_request_endings.py
@@ -63,7 +63,7 @@
         """Log and count a request's outcome; ``status`` is 0 if its answer was not completed."""
         took = self._clock.now() - state.request.arrived
         self._telemetry.count("requests", route=state.route.kind.value, outcome=outcome)
-        self._telemetry.time("request", took)
+        self._telemetry.observe_duration("request", took)
         logging.info(
             "event=request request=%s route=%s outcome=%s status=%d runs=%d turned_away=%d"
             " upstreams=%s took_ms=%.0f failure=%r",
--- a/packages/node/src/carobspool_node/direct/_telemetry.py
+++ b/packages/node/src/carobspool_node/direct/_telemetry.py
@@ -54,9 +54,9 @@
         """Add to a counter."""
         self._metrics.count(name, value, **labels)
 
-    def time(self, name: str, duration: Millis) -> None:
+    def observe_duration(self, name: str, duration: Millis) -> None:
         """Record a duration in milliseconds."""
-        self._metrics.time(name, duration)
+        self._metrics.observe_duration(name, duration)
 
     def text(self) -> bytes:
         """Return all metrics in the Prometheus text format."""
--- a/packages/node/src/carobspool_node/direct/_upstream_calls.py
+++ b/packages/node/src/carobspool_node/direct/_upstream_calls.py
@@ -12,9 +12,9 @@
 from carobspool_core.direct import Upstream
 from carobspool_node.direct._channel import CallerWatch, Cancellation, Channel, connect
 from carobspool_node.direct._errors import (
+    CallCancelledError,
     ConnectionBrokenError,
     DeadlinePassedError,
-    RunCancelledError,
 )
 from carobspool_node.direct._messages import HeaderNames, Headers, UpstreamHead, find_header
 from carobspool_node.direct._open_calls import OpenCall, OpenCalls
@@ -191,7 +191,7 @@
             DeadlinePassedError: ``deadline`` or the idle deadline has passed; the request may have
                 run.
             CallerGoneError: The caller has disconnected; the request may have run.
-            RunCancelledError: Another task cancelled the call; the request may have run.
+            CallCancelledError: Another task cancelled the call; the request may have run.
         """
         self._connections.calls.add(self._open_call)
         channel = self._connections.acquire(self._upstream)
@@ -207,26 +207,26 @@
             head = self._read_head(channel, request, deadline)
         except ConnectionBrokenError as error:
             raise CallFailedError(str(error), sent=True) from error
-        except RunCancelledError as error:
+        except CallCancelledError as error:
             self._raise_if_upstream_restarted(error)
             raise
         self._open_call.last_received = self._clock.now()
         return head
 
-    def body(self, deadline: Millis, *, silence: Millis | None = None) -> Iterator[bytes]:
+    def body(self, deadline: Millis, *, idle_timeout: Millis | None = None) -> Iterator[bytes]:
         """Yield the pieces of the body as they arrive.
 
         Args:
             deadline: Time at which the call ends.
-            silence: Longest time without a piece, after which the call counts as failed.
+            idle_timeout: Longest time without a piece, after which the call counts as failed.
 
         Raises:
-            CallFailedError: The answer ended early, or no piece arrived for ``silence``.
+            CallFailedError: The answer ended early, or no piece arrived for ``idle_timeout``.
         """
         channel = self._channel
         assert channel is not None
         while True:
-            idle_deadline = deadline if silence is None else self._clock.now() + silence
+            idle_deadline = deadline if idle_timeout is None else self._clock.now() + idle_timeout
             try:
                 event = channel.next_event(min(deadline, idle_deadline), self._watch)
             except ConnectionBrokenError as error:
@@ -235,7 +235,7 @@
                 if idle_deadline >= deadline:
                     raise
                 raise CallFailedError("the stream fell silent", sent=True) from error
-            except RunCancelledError as error:
+            except CallCancelledError as error:
                 self._raise_if_upstream_restarted(error)
                 raise
             self._open_call.last_received = self._clock.now()
@@ -263,7 +263,7 @@
             return
         channel.close()
 
-    def _raise_if_upstream_restarted(self, error: RunCancelledError) -> None:
+    def _raise_if_upstream_restarted(self, error: CallCancelledError) -> None:
         if self._open_call.upstream_restarted:
             raise CallFailedError(_UPSTREAM_RESTARTED, sent=True) from error
 
--- a/packages/node/tests/test_direct_metrics.py
+++ b/packages/node/tests/test_direct_metrics.py
@@ -36,7 +36,7 @@
 def test_buckets_of_a_histogram_hold_all_shorter_durations() -> None:
     metrics = Metrics()
     for duration in (5.0, 10.0, 240.0, 60_000.0):
-        metrics.time("first_event", duration)
+        metrics.observe_duration("first_event", duration)
     samples = _samples(metrics)
     name = "carobspool_first_event_seconds"
     assert samples[f'{name}_bucket{{le="0.01"}}'] == 2
