--- a/packages/core/src/carobspool_core/organisations/__init__.py
+++ b/packages/core/src/carobspool_core/organisations/__init__.py
@@ -5,18 +5,18 @@
 """
 
 from carobspool_core.organisations._directory import Organisation, OrganisationDirectory, RateLimit
-from carobspool_core.organisations._job_identity import qualified_job_id, waiting_key
+from carobspool_core.organisations._job_identity import qualified_job_id, waiting_tokens_key
 from carobspool_core.organisations._keys import key_digest, read_bearer
 from carobspool_core.organisations._request_limits import (
     Admission,
-    Neighbour,
+    KnownPeer,
     RequestLimits,
 )
 from carobspool_core.organisations._unknown_keys import UnknownKeys
 
 __all__ = [
     "Admission",
-    "Neighbour",
+    "KnownPeer",
     "Organisation",
     "OrganisationDirectory",
     "RateLimit",
@@ -25,5 +25,5 @@
     "key_digest",
     "qualified_job_id",
     "read_bearer",
-    "waiting_key",
+    "waiting_tokens_key",
 ]
--- a/packages/core/src/carobspool_core/organisations/_directory.py
+++ b/packages/core/src/carobspool_core/organisations/_directory.py
@@ -61,7 +61,7 @@
         """Iterate over the organisations."""
         return iter(self._by_name.values())
 
-    def holder_of(self, digest: bytes) -> Organisation | None:
+    def find_by_key_digest(self, digest: bytes) -> Organisation | None:
         """Return the organisation that holds a key, by the key's digest."""
         return self._by_digest.get(digest)
 
--- a/packages/core/src/carobspool_core/organisations/_job_identity.py
+++ b/packages/core/src/carobspool_core/organisations/_job_identity.py
@@ -29,7 +29,7 @@
     return f"{job_id}{ID_SEPARATOR}{digest}"
 
 
-def waiting_key(route: str, organisation: str | None) -> str:
+def waiting_tokens_key(route: str, organisation: str | None) -> str:
     """Return the key under which the waiting tokens of a route and organisation are counted."""
     if not organisation:
         return route
--- a/packages/core/src/carobspool_core/organisations/_request_limits.py
+++ b/packages/core/src/carobspool_core/organisations/_request_limits.py
@@ -85,31 +85,31 @@
 
     Attributes:
         granted: Whether the request is admitted.
-        wait: For a refused request, the time until the organisation's next token, over the whole
-            deployment.
+        retry_after: For a refused request, the time until the organisation's next token, over the
+            whole deployment.
         level: Tokens left in the bucket, for the log; negative when the bucket is in debt.
-        heard: Number of entries whose counts are known, this one included.
-        entries: Number of entries that may be admitting requests.
+        entries_heard: Number of entries whose counts are known, this one included.
+        entry_count: Number of entries that may be admitting requests.
     """
 
     granted: bool
-    wait: Millis = 0.0
+    retry_after: Millis = 0.0
     level: float = 0.0
-    heard: int = 1
-    entries: int = 1
+    entries_heard: int = 1
+    entry_count: int = 1
 
 
-class Neighbour(Struct, frozen=True, kw_only=True):
+class KnownPeer(Struct, frozen=True, kw_only=True):
     """Another entry of the deployment, a peer of this one.
 
     Attributes:
         name: The entry's name.
-        heard: When its last hint arrived, ``None`` when the entry is only listed.
+        last_heard_at: When its last hint arrived, ``None`` when the entry is only listed.
         leaving: Whether the entry has announced that it shuts down.
     """
 
     name: str
-    heard: Millis | None
+    last_heard_at: Millis | None
     leaving: bool = False
 
 
@@ -136,12 +136,12 @@
         self._changed_at: dict[str, Millis] = {}
 
     @property
-    def entries(self) -> int:
+    def entry_count(self) -> int:
         """Number of entries that may be admitting requests, this one included."""
         return self._entries
 
     @property
-    def heard(self) -> int:
+    def entries_heard(self) -> int:
         """Number of those entries whose counts are known, this one included."""
         return self._heard
 
@@ -175,7 +175,7 @@
         for name in limits:
             self._names.setdefault(organisation_key(name), []).append(name)
 
-    def update_peers(self, peers: Iterable[Neighbour], now: Millis) -> None:
+    def update_peers(self, peers: Iterable[KnownPeer], now: Millis) -> None:
         """Update which other entries exist and when each was last heard."""
         recently_heard, heard, entries = 1, 1, 1
         recent_for = RECENT_HINT_INTERVALS * self.hot_hint_interval
@@ -184,8 +184,8 @@
             peer = self._peers.get(each.name)
             if peer is None:
                 peer = self._peers[each.name] = PeerCounts(listed_at=now)
-            since = now - (peer.listed_at if each.heard is None else each.heard)
-            is_silent = each.heard is None or since > SILENT_AFTER
+            since = now - (peer.listed_at if each.last_heard_at is None else each.last_heard_at)
+            is_silent = each.last_heard_at is None or since > SILENT_AFTER
             if is_silent and not peer.is_silent and not each.leaving:
                 fallen_silent.append(peer)
             peer.is_silent = is_silent
@@ -260,7 +260,7 @@
             for name in self._names.get(key, ()):
                 self._apply_count(peer, name, value, now, is_first=is_new)
 
-    def forget_idle(self, now: Millis, *, idle: Millis) -> None:
+    def drop_idle(self, now: Millis, *, idle: Millis) -> None:
         """Drop full buckets, own counts unchanged for ``idle``, and expired counts of peers."""
         for name, bucket in list(self._buckets.items()):
             self._refill(bucket, now)
@@ -402,8 +402,8 @@
             wait = max(MIN_RETRY_DELAY, (1.0 - bucket.level) / rate)
         return Admission(
             granted=granted,
-            wait=wait,
+            retry_after=wait,
             level=bucket.level,
-            heard=self._heard,
-            entries=self._entries,
+            entries_heard=self._heard,
+            entry_count=self._entries,
         )
--- a/packages/core/tests/limits_model.py
+++ b/packages/core/tests/limits_model.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 from carobspool_core import Millis
-from carobspool_core.organisations import Neighbour, RateLimit, RequestLimits
+from carobspool_core.organisations import KnownPeer, RateLimit, RequestLimits
 
 STEP: Millis = 5.0
 PEER_UPDATE_INTERVAL: Millis = 50.0
@@ -159,7 +159,7 @@
 
     def _update_peers(self, entry: ModelEntry) -> None:
         others = [
-            Neighbour(name=each.name, heard=entry.heard.get(each.name))
+            KnownPeer(name=each.name, last_heard_at=entry.heard.get(each.name))
             for each in self.entries
             if each.name != entry.name
         ]
--- a/packages/core/tests/test_organisations.py
+++ b/packages/core/tests/test_organisations.py
@@ -14,7 +14,7 @@
     key_digest,
     qualified_job_id,
     read_bearer,
-    waiting_key,
+    waiting_tokens_key,
 )
 from carobspool_core.organisations._unknown_keys import CONFIRMED_FOR
 
@@ -32,8 +32,8 @@
 def test_the_holder_of_a_key_is_found_by_its_digest() -> None:
     acme = Organisation(name="acme", key_digests=(key_digest("k1"), key_digest("k2")))
     directory = OrganisationDirectory([acme, Organisation(name="other")])
-    assert directory.holder_of(key_digest("k2")) is acme
-    assert directory.holder_of(key_digest("k3")) is None
+    assert directory.find_by_key_digest(key_digest("k2")) is acme
+    assert directory.find_by_key_digest(key_digest("k3")) is None
     assert len(directory) == 2
 
 
@@ -41,7 +41,7 @@
     digest = key_digest("shared")
     first = Organisation(name="first", key_digests=(digest,))
     second = Organisation(name="second", key_digests=(digest,))
-    assert OrganisationDirectory([first, second]).holder_of(digest) is first
+    assert OrganisationDirectory([first, second]).find_by_key_digest(digest) is first
 
 
 def test_only_limited_organisations_have_limits() -> None:
@@ -71,8 +71,8 @@
 
 
 def test_waiting_tokens_are_counted_by_organisation() -> None:
-    assert len({waiting_key("r", each) for each in (None, "a", "b")}) == 3
-    assert waiting_key("r", "") == waiting_key("r", None)
+    assert len({waiting_tokens_key("r", each) for each in (None, "a", "b")}) == 3
+    assert waiting_tokens_key("r", "") == waiting_tokens_key("r", None)
 
 
 def test_an_unknown_key_is_denied_only_while_the_configuration_is_confirmed() -> None:
--- a/packages/core/tests/test_request_limits.py
+++ b/packages/core/tests/test_request_limits.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 from limits_model import Fleet, poisson
 
-from carobspool_core.organisations import Neighbour, RateLimit, RequestLimits
+from carobspool_core.organisations import KnownPeer, RateLimit, RequestLimits
 from carobspool_core.organisations._peer_counts import organisation_key
 from carobspool_core.organisations._request_limits import (
     MAX_DEBT_TIME,
@@ -44,7 +44,7 @@
 def test_a_refused_caller_is_told_when_the_next_token_comes() -> None:
     limits = _one_entry(RateLimit(per_second=10.0, burst=5.0))
     _admit_all(limits, 60_000.0)
-    wait = limits.admit("o", 60_000.0).wait
+    wait = limits.admit("o", 60_000.0).retry_after
     assert 0.0 < wait <= 100.0
     assert not limits.admit("o", 60_000.0 + wait - 1.0).granted
     assert limits.admit("o", 60_000.0 + wait + 1.0).granted
@@ -98,25 +98,25 @@
 def test_the_share_of_a_silent_entry_is_withheld_for_a_limited_time() -> None:
     """Each side of a network partition would otherwise admit the whole limit."""
     limits = _one_entry(RateLimit(per_second=10.0, burst=100.0))
-    limits.update_peers([Neighbour(name="e2", heard=60_000.0)], 60_000.0)
+    limits.update_peers([KnownPeer(name="e2", last_heard_at=60_000.0)], 60_000.0)
     limits.admit("o", 60_000.0)
-    limits.update_peers([Neighbour(name="e2", heard=60_000.0)], 61_000.0)
+    limits.update_peers([KnownPeer(name="e2", last_heard_at=60_000.0)], 61_000.0)
     assert 49 <= _admit_all(limits, 61_000.0) <= 51
     later = 60_000.0 + SILENT_SHARE_HELD_FOR + 1.0
-    limits.update_peers([Neighbour(name="e2", heard=60_000.0)], later)
-    assert limits.entries == 1
+    limits.update_peers([KnownPeer(name="e2", last_heard_at=60_000.0)], later)
+    assert limits.entry_count == 1
 
 
 def test_no_share_is_withheld_for_an_entry_that_shuts_down() -> None:
     limits = _one_entry(SMALL)
-    limits.update_peers([Neighbour(name="e2", heard=60_000.0, leaving=True)], 62_000.0)
-    assert limits.entries == 1
+    limits.update_peers([KnownPeer(name="e2", last_heard_at=60_000.0, leaving=True)], 62_000.0)
+    assert limits.entry_count == 1
 
 
 def test_no_state_is_kept_for_idle_organisations() -> None:
     limits = _one_entry(SMALL)
     limits.admit("o", 1_000.0)
-    limits.forget_idle(60_000.0, idle=30_000.0)
+    limits.drop_idle(60_000.0, idle=30_000.0)
     assert not limits._buckets
     assert not limits._changed_at
 
--- a/packages/node/src/carobspool_node/direct/_callers.py
+++ b/packages/node/src/carobspool_node/direct/_callers.py
@@ -28,8 +28,8 @@
 from carobspool_node.direct._messages import AUTHORIZATION, CallerRequest, HeaderNames
 from carobspool_node.direct._telemetry import Telemetry
 from carobspool_node.organisations import (
-    Access,
-    CallerAccess,
+    CallerAuthenticator,
+    CallerIdentity,
     CallerKeyRefused,
     RequestQuota,
 )
@@ -71,7 +71,7 @@
         forwarder: Forwarder,
         jobs: Jobs,
         telemetry: Telemetry,
-        access: CallerAccess,
+        access: CallerAuthenticator,
         quota: RequestQuota,
         *,
         configuration: Callable[[], Configuration | None],
@@ -126,11 +126,11 @@
                 self._submit(request, route, caller, access)
             return
         if access.organisation is None:
-            self._forwarder.serve(request, route, caller, organisation=access.owner)
+            self._forwarder.serve(request, route, caller, organisation=access.owner_name)
             return
         self._serve_within_limit(request, route, caller, access.organisation.name)
 
-    def _identify(self, request: CallerRequest, *, is_exempt: bool) -> Access:
+    def _identify(self, request: CallerRequest, *, is_exempt: bool) -> CallerIdentity:
         return self._access.identify(request.header_values(AUTHORIZATION), is_exempt=is_exempt)
 
     def _serve_within_limit(
@@ -141,7 +141,7 @@
             self._refuse_over_limit(request, caller, organisation, admission)
             return
         if not self._forwarder.serve(request, route, caller, organisation=organisation):
-            self._quota.give_back(organisation)
+            self._quota.refund(organisation)
 
     def _check_time_for_job_call(self, request: CallerRequest, caller: CallerConnection) -> bool:
         """Return whether a call on a job can finish before this process exits; refuse it if not."""
@@ -151,23 +151,23 @@
         return False
 
     def _submit(
-        self, request: CallerRequest, route: Route, caller: CallerConnection, access: Access
+        self, request: CallerRequest, route: Route, caller: CallerConnection, access: CallerIdentity
     ) -> None:
         if request.method != b"POST":
             raise BadRequestError("jobs are submitted with POST", 405)
         if not _is_job_id(request.request_id):
             raise BadRequestError("the id is none that a job can have", 400)
         job = JobInput(
-            job_id=qualified_job_id(request.request_id, access.owner),
+            job_id=qualified_job_id(request.request_id, access.owner_name),
             host=request.host,
             path=request.path,
             owner="",
             submitted=0.0,
             items=tuple(self._dialect.job_items(request.body)),
-            organisation=access.owner,
+            organisation=access.owner_name,
         )
         id_without_organisation = (
-            qualified_job_id(request.request_id, None) if access.owner else None
+            qualified_job_id(request.request_id, None) if access.owner_name else None
         )
         outcome = self._jobs.submit(job, route, id_without_organisation=id_without_organisation)
         self._record_job_call(request, "submit", outcome)
@@ -187,7 +187,7 @@
             # The organisations are unknown, so an unqualified id could name any organisation's job.
             self._refuse(request, caller, 503, NOT_CONFIGURED, NOT_CONFIGURED_RETRY_AFTER)
             return
-        owner = self._identify_for_job_call(request, configuration).owner
+        owner = self._identify_for_job_call(request, configuration).owner_name
         if isinstance(call, ReadResults):
             wait = min(call.wait, MAX_READ_WAIT)
             page = self._act_on_job(
@@ -217,7 +217,7 @@
 
     def _identify_for_job_call(
         self, request: CallerRequest, configuration: Configuration
-    ) -> Access:
+    ) -> CallerIdentity:
         values = request.header_values(AUTHORIZATION)
         is_exempt = not values and configuration.has_keyless_batch_route(request.host)
         return self._identify(request, is_exempt=is_exempt)
@@ -264,7 +264,7 @@
         self, request: CallerRequest, caller: CallerConnection, error: CallerKeyRefused
     ) -> None:
         self._telemetry.count("refused_keys", reason=error.problem.name.lower())
-        if error.is_final:
+        if error.is_permanent:
             self._refuse(request, caller, 401, error.problem.value, None)
             return
         self._refuse(request, caller, 503, error.problem.value, KEY_RETRY_AFTER)
@@ -277,15 +277,15 @@
         admission: Admission,
     ) -> None:
         self._telemetry.count("over_limit")
-        wait = admission.wait * (1.0 + RETRY_JITTER_FRACTION * random.random())
+        wait = admission.retry_after * (1.0 + RETRY_JITTER_FRACTION * random.random())
         logging.info(
             "event=over_limit request=%s organisation=%s level=%.2f entries_heard=%d entries=%d"
             " wait_ms=%.0f",
             request.request_id,
             organisation,
             admission.level,
-            admission.heard,
-            admission.entries,
+            admission.entries_heard,
+            admission.entry_count,
             wait,
         )
         message = f"organisation {organisation!r} is over its limit of requests a second"
--- a/packages/node/src/carobspool_node/direct/_entry.py
+++ b/packages/node/src/carobspool_node/direct/_entry.py
@@ -51,7 +51,11 @@
 from carobspool_node.direct._telemetry import Telemetry
 from carobspool_node.direct._upstream_calls import UpstreamConnections
 from carobspool_node.direct._view_exchange import ViewExchange
-from carobspool_node.organisations import TOLD_IN_ANNOUNCEMENTS_FOR, CallerAccess, RequestQuota
+from carobspool_node.organisations import (
+    ANNOUNCEMENT_RESEND_TIME,
+    CallerAuthenticator,
+    RequestQuota,
+)
 
 CALLER_WORKERS = 400
 PEER_WORKERS = 100
@@ -84,7 +88,7 @@
         self._loads = LoadTable(self._clock, settings.failure_domain, name=settings.node)
         self._connections = UpstreamConnections(self._clock)
         self._peer_caller = PeerCaller(self._clock)
-        self._quota = RequestQuota(self._clock, neighbours=lambda: self._peers.neighbours())
+        self._quota = RequestQuota(self._clock, known_peers=lambda: self._peers.known_peers())
         self._peers = Peers(
             self._clock,
             self._telemetry,
@@ -196,10 +200,10 @@
             self._telemetry,
             lambda: self._exit.time_left,
         )
-        access = CallerAccess(
+        access = CallerAuthenticator(
             self._clock,
             directory=self._directory,
-            confirm=self._views.confirm_configuration,
+            confirm_configuration=self._views.confirm_configuration,
         )
         self._api = CallerApi(
             self._clock,
@@ -238,7 +242,7 @@
                 lost=self._recovery.peer_lost,
                 gone=self._recovery.peer_gone,
                 ended=self._runner.handle_ended_jobs,
-                counts=self._quota.receive,
+                counts=self._quota.apply_peer_counts,
             )
         )
         self._declared.start()
@@ -353,7 +357,7 @@
             released=self._runner.released,
             store_ok=self._store.last_call_answered,
             answer_age=self._store.answer_age,
-            counts=self._quota.recent_counts(TOLD_IN_ANNOUNCEMENTS_FOR),
+            counts=self._quota.recent_counts(ANNOUNCEMENT_RESEND_TIME),
             backlog=self._runner.backlog(),
         )
 
@@ -361,7 +365,7 @@
         identities = self._declared.identities()
         self._connections.retain_only(identities)
         self._loads.retain_only(identities)
-        self._quota.tidy()
+        self._quota.drop_idle()
         self._peer_caller.retain_only({peer.identity for peer in self._peers.live()})
 
     def _caller_limits(self) -> CallerLimits:
--- a/packages/node/src/carobspool_node/direct/_job_runner.py
+++ b/packages/node/src/carobspool_node/direct/_job_runner.py
@@ -21,7 +21,7 @@
     WaitingGroup,
     group_by_start_order,
 )
-from carobspool_core.organisations import waiting_key
+from carobspool_core.organisations import waiting_tokens_key
 from carobspool_node.direct._in_flight import BatchRun
 from carobspool_node.direct._item_order import WaitingItem, order_waiting_items
 from carobspool_node.direct._item_run import ItemRunner, RunEnd, RunOutcome
@@ -176,7 +176,7 @@
             self._backlog.update_peer(peer, groups, self._clock.now())
 
     def waiting_tokens(self) -> dict[str, int]:
-        """Return the tokens of unfinished items by route and organisation (`waiting_key`)."""
+        """Return the tokens of unfinished items by `waiting_tokens_key`."""
         configuration = self._configuration()
         found: dict[str, int] = {}
         if configuration is None:
@@ -185,7 +185,7 @@
             route = configuration.route_for(job.input.host, job.input.path)
             if route is None or job.finished:
                 continue
-            key = waiting_key(route.name, job.input.organisation)
+            key = waiting_tokens_key(route.name, job.input.organisation)
             with job.lock:
                 found[key] = found.get(key, 0) + job.work.waiting_tokens
         return found
--- a/packages/node/src/carobspool_node/direct/_jobs.py
+++ b/packages/node/src/carobspool_node/direct/_jobs.py
@@ -23,7 +23,7 @@
     Route,
     fits_quota,
 )
-from carobspool_core.organisations import qualified_job_id, waiting_key
+from carobspool_core.organisations import qualified_job_id, waiting_tokens_key
 from carobspool_core.problems import UnusableRecordError
 from carobspool_node.direct._job_adoption import JobAdoption
 from carobspool_node.direct._job_catalog import JobCatalog, initial_progress
@@ -241,7 +241,7 @@
 
     def _is_within_quota(self, route: Route, organisation: str | None, tokens: int) -> bool:
         peers = self._peers.live()
-        key = waiting_key(route.name, organisation)
+        key = waiting_tokens_key(route.name, organisation)
         return fits_quota(
             limit=route.waiting_limit,
             own_tokens=self._runner.waiting_tokens().get(key, 0),
--- a/packages/node/src/carobspool_node/direct/_peer_table.py
+++ b/packages/node/src/carobspool_node/direct/_peer_table.py
@@ -12,7 +12,7 @@
 
 from carobspool_core import Clock, Millis
 from carobspool_core.direct import DEAD_AFTER, FORGET_AFTER, SILENT_AFTER, Liveness
-from carobspool_core.organisations import Neighbour
+from carobspool_core.organisations import KnownPeer
 from carobspool_node.direct._bad_records import printable_text
 from carobspool_node.direct._load_hint import CountsHint, LoadHint
 from carobspool_node.direct._peer import Peer
@@ -121,15 +121,15 @@
             current=current, count_readers=frozenset(count_readers), others=list(others.values())
         )
 
-    def neighbours(self) -> list[Neighbour]:
+    def known_peers(self) -> list[KnownPeer]:
         """Return all other entries and when they were last heard, including those only listed."""
         with self._lock:
             found = [
-                Neighbour(name=each.name, heard=each.last_heard_at, leaving=each.leaving)
+                KnownPeer(name=each.name, last_heard_at=each.last_heard_at, leaving=each.leaving)
                 for each in self._peers.values()
             ]
             listed = self._addresses.keys() - self._peers.keys()
-        return found + [Neighbour(name=name, heard=None) for name in listed]
+        return found + [KnownPeer(name=name, last_heard_at=None) for name in listed]
 
     def pop_new_peers(self) -> set[str]:
         """Return and clear the names of peers whose process was first heard since the last call."""
--- a/packages/node/src/carobspool_node/direct/_peers.py
+++ b/packages/node/src/carobspool_node/direct/_peers.py
@@ -21,7 +21,7 @@
 
 from carobspool_core import Clock, Millis
 from carobspool_core.direct import Load, LoadSendLimiter, WaitingGroup
-from carobspool_core.organisations import Neighbour
+from carobspool_core.organisations import KnownPeer
 from carobspool_node.direct._announcement import Sender
 from carobspool_node.direct._bad_records import BadRecords
 from carobspool_node.direct._hint_receiver import HintReceiver, PeerCallbacks
@@ -190,9 +190,9 @@
         """Return the names of the peers heard within `FORGET_AFTER`, which covers a restart."""
         return self._table.members()
 
-    def neighbours(self) -> list[Neighbour]:
+    def known_peers(self) -> list[KnownPeer]:
         """Return all other entries and when they were last heard, including those only listed."""
-        return self._table.neighbours()
+        return self._table.known_peers()
 
     def _announce_to(
         self, current: Sequence[tuple[str, int]], others: Sequence[tuple[str, int]]
--- a/packages/node/src/carobspool_node/organisations/__init__.py
+++ b/packages/node/src/carobspool_node/organisations/__init__.py
@@ -5,18 +5,18 @@
 """
 
 from carobspool_node.organisations._access import (
-    Access,
-    CallerAccess,
+    CallerAuthenticator,
+    CallerIdentity,
     CallerKeyRefused,
     KeyProblem,
 )
 from carobspool_node.organisations._request_counts import pack_counts, unpack_counts
-from carobspool_node.organisations._request_quota import TOLD_IN_ANNOUNCEMENTS_FOR, RequestQuota
+from carobspool_node.organisations._request_quota import ANNOUNCEMENT_RESEND_TIME, RequestQuota
 
 __all__ = [
-    "TOLD_IN_ANNOUNCEMENTS_FOR",
-    "Access",
-    "CallerAccess",
+    "ANNOUNCEMENT_RESEND_TIME",
+    "CallerAuthenticator",
+    "CallerIdentity",
     "CallerKeyRefused",
     "KeyProblem",
     "RequestQuota",
--- a/packages/node/src/carobspool_node/organisations/_access.py
+++ b/packages/node/src/carobspool_node/organisations/_access.py
@@ -42,12 +42,12 @@
         self.problem = problem
 
     @property
-    def is_final(self) -> bool:
+    def is_permanent(self) -> bool:
         """Whether a retry with the same key would be refused too."""
         return self.problem is not KeyProblem.UNSURE
 
 
-class Access(Struct, frozen=True, kw_only=True):
+class CallerIdentity(Struct, frozen=True, kw_only=True):
     """The identified sender of a request.
 
     Attributes:
@@ -60,7 +60,7 @@
     has_organisations: bool = False
 
     @property
-    def owner(self) -> str | None:
+    def owner_name(self) -> str | None:
         """Name of the organisation; empty for a request that needs none, ``None`` when the operator
         declares no organisations."""
         if not self.has_organisations:
@@ -68,18 +68,19 @@
         return "" if self.organisation is None else self.organisation.name
 
 
-UNRESTRICTED = Access()
+UNRESTRICTED = CallerIdentity()
 """The access of every caller if the operator declares no organisations."""
 
 
-class CallerAccess:
+class CallerAuthenticator:
     """Finds organisations by their keys; thread-safe.
 
     Args:
         clock: The process's clock.
         directory: Returns the current organisations, ``None`` when the operator declares none.
-        confirm: Asks a peer whether the local configuration is the newest, applies a newer one, and
-            returns whether the local configuration is known to be the newest afterwards.
+        confirm_configuration: Asks a peer whether the local configuration is the newest, applies a
+            newer one, and returns whether the local configuration is known to be the newest
+            afterwards.
     """
 
     def __init__(
@@ -87,15 +88,17 @@
         clock: Clock,
         *,
         directory: Callable[[], OrganisationDirectory | None],
-        confirm: Callable[[], bool],
+        confirm_configuration: Callable[[], bool],
     ) -> None:
         self._clock = clock
         self._directory = directory
-        self._confirm = confirm
+        self._confirm_configuration = confirm_configuration
         self._unknown_keys = UnknownKeys()
         self._confirm_lock = threading.Lock()
 
-    def identify(self, authorization: Sequence[bytes], *, is_exempt: bool = False) -> Access:
+    def identify(
+        self, authorization: Sequence[bytes], *, is_exempt: bool = False
+    ) -> CallerIdentity:
         """Return the sender of a request.
 
         Args:
@@ -110,32 +113,32 @@
         if directory is None:
             return UNRESTRICTED
         if is_exempt:
-            return Access(has_organisations=True)
+            return CallerIdentity(has_organisations=True)
         key = read_bearer(authorization[0].decode("latin-1")) if len(authorization) == 1 else None
         if key is None:
             raise CallerKeyRefused(KeyProblem.MISSING)
         digest = key_digest(key)
-        found = directory.holder_of(digest) or self._find_after_confirmation(digest)
-        return Access(organisation=found, has_organisations=True)
+        found = directory.find_by_key_digest(digest) or self._find_after_confirmation(digest)
+        return CallerIdentity(organisation=found, has_organisations=True)
 
     def _find_after_confirmation(self, digest: bytes) -> Organisation:
         """Return the holder of a key that is unknown until the configuration is confirmed."""
         with self._confirm_lock:
             # A confirmation that another thread obtained meanwhile applies to this key too.
-            found = self._holder_of(digest)
+            found = self._find_by_key_digest(digest)
             if found is not None:
                 return found
             now = self._clock.now()
             if self._unknown_keys.may_deny(now):
                 raise CallerKeyRefused(KeyProblem.UNKNOWN)
-            if not self._confirm():
+            if not self._confirm_configuration():
                 raise CallerKeyRefused(KeyProblem.UNSURE)
             self._unknown_keys.confirm(now)
-        found = self._holder_of(digest)
+        found = self._find_by_key_digest(digest)
         if found is None:
             raise CallerKeyRefused(KeyProblem.UNKNOWN)
         return found
 
-    def _holder_of(self, digest: bytes) -> Organisation | None:
+    def _find_by_key_digest(self, digest: bytes) -> Organisation | None:
         directory = self._directory()
-        return None if directory is None else directory.holder_of(digest)
+        return None if directory is None else directory.find_by_key_digest(digest)
--- a/packages/node/src/carobspool_node/organisations/_request_quota.py
+++ b/packages/node/src/carobspool_node/organisations/_request_quota.py
@@ -8,7 +8,7 @@
 from carobspool_core import Clock, Millis
 from carobspool_core.organisations import (
     Admission,
-    Neighbour,
+    KnownPeer,
     OrganisationDirectory,
     RequestLimits,
 )
@@ -19,7 +19,7 @@
 """How long hints repeat a count after it has changed; a later hint makes up for a lost one."""
 HEARTBEAT_RESEND_TIME: Millis = 1_300.0
 """How long heartbeats repeat it, which are sent twice a second."""
-TOLD_IN_ANNOUNCEMENTS_FOR: Millis = 10_000.0
+ANNOUNCEMENT_RESEND_TIME: Millis = 10_000.0
 """How long announcements repeat it, which are sent every two seconds and to each process that has
 just started."""
 IDLE_TIME: Millis = 30_000.0
@@ -32,12 +32,12 @@
 
     Args:
         clock: The process's clock.
-        neighbours: Returns the other entries.
+        known_peers: Returns the other entries.
     """
 
-    def __init__(self, clock: Clock, *, neighbours: Callable[[], Iterable[Neighbour]]) -> None:
+    def __init__(self, clock: Clock, *, known_peers: Callable[[], Iterable[KnownPeer]]) -> None:
         self._clock = clock
-        self._neighbours = neighbours
+        self._known_peers = known_peers
         self._lock = threading.Lock()
         self._limits = RequestLimits(clock.now())
         self._peers_updated_at: Millis = float("-inf")
@@ -75,7 +75,7 @@
             )
             return admission
 
-    def give_back(self, organisation: str) -> None:
+    def refund(self, organisation: str) -> None:
         """Undo the count of a request that no upstream has run."""
         with self._lock:
             self._limits.refund(organisation, self._clock.now())
@@ -95,7 +95,7 @@
         with self._lock:
             return self._limits.recent_counts(self._clock.now(), within=within)
 
-    def receive(self, peer: str, incarnation: str, counts: Mapping[int, int]) -> None:
+    def apply_peer_counts(self, peer: str, incarnation: str, counts: Mapping[int, int]) -> None:
         """Charge the limits for requests that another entry has admitted."""
         with self._lock:
             if self._has_limits:
@@ -103,17 +103,17 @@
                 self._update_peers(now)
                 self._limits.apply_peer_counts(peer, incarnation, counts, now)
 
-    def tidy(self) -> None:
+    def drop_idle(self) -> None:
         """Drop the state of idle organisations, at most once in `IDLE_SWEEP_INTERVAL`."""
         now = self._clock.now()
         if now - self._idle_swept_at < IDLE_SWEEP_INTERVAL:
             return
         self._idle_swept_at = now
         with self._lock:
-            self._limits.forget_idle(now, idle=IDLE_TIME)
+            self._limits.drop_idle(now, idle=IDLE_TIME)
 
     def _update_peers(self, now: Millis) -> None:
         if now - self._peers_updated_at < PEER_UPDATE_INTERVAL:
             return
         self._peers_updated_at = now
-        self._limits.update_peers(self._neighbours(), now)
+        self._limits.update_peers(self._known_peers(), now)
--- a/packages/node/tests/test_caller_access.py
+++ b/packages/node/tests/test_caller_access.py
@@ -9,7 +9,7 @@
 
 from carobspool_core import Millis
 from carobspool_core.organisations import Organisation, OrganisationDirectory, key_digest
-from carobspool_node.organisations import CallerAccess, CallerKeyRefused, KeyProblem
+from carobspool_node.organisations import CallerAuthenticator, CallerKeyRefused, KeyProblem
 
 ACME = Organisation(name="acme", key_digests=(key_digest("good"),))
 
@@ -31,11 +31,13 @@
         self.newer: OrganisationDirectory | None = None
         self.reachable = True
         self.asked = 0
-        self.access = CallerAccess(
-            self.clock, directory=lambda: self.directory, confirm=self._confirm
+        self.access = CallerAuthenticator(
+            self.clock,
+            directory=lambda: self.directory,
+            confirm_configuration=self._confirm_configuration,
         )
 
-    def _confirm(self) -> bool:
+    def _confirm_configuration(self) -> bool:
         self.asked += 1
         if self.reachable and self.newer is not None:
             self.directory = self.newer
@@ -52,19 +54,19 @@
     known = _Known()
     access = known.access.identify([b"Bearer good"])
     assert access.organisation is ACME
-    assert access.owner == "acme"
+    assert access.owner_name == "acme"
     assert known.asked == 0
 
 
 def test_without_organisations_anybody_may_call() -> None:
     known = _Known()
     known.directory = None
-    assert known.access.identify([]).owner is None
+    assert known.access.identify([]).owner_name is None
 
 
 def test_an_exempt_request_belongs_to_nobody() -> None:
     known = _Known()
-    assert known.access.identify([b"Bearer good"], is_exempt=True).owner == ""
+    assert known.access.identify([b"Bearer good"], is_exempt=True).owner_name == ""
 
 
 @pytest.mark.parametrize("values", [[], [b""], [b"Bearer good", b"Bearer good"], [b"good"]])
@@ -78,7 +80,7 @@
     known.newer = OrganisationDirectory(
         [Organisation(name="new", key_digests=(key_digest("newer"),))]
     )
-    assert known.access.identify([b"Bearer newer"]).owner == "new"
+    assert known.access.identify([b"Bearer newer"]).owner_name == "new"
 
 
 def test_a_flood_of_false_keys_asks_four_times_a_second() -> None:
@@ -95,22 +97,22 @@
     known = _Known()
     known.reachable = False
     assert known.problem(b"Bearer other") is KeyProblem.UNSURE
-    assert not CallerKeyRefused(KeyProblem.UNSURE).is_final
-    assert known.access.identify([b"Bearer good"]).owner == "acme"
+    assert not CallerKeyRefused(KeyProblem.UNSURE).is_permanent
+    assert known.access.identify([b"Bearer good"]).owner_name == "acme"
 
 
 def test_requests_that_come_together_cause_one_question() -> None:
     known = _Known()
     asked = threading.Event()
     release = threading.Event()
-    confirm = known._confirm
+    confirm = known._confirm_configuration
 
     def wait(answer: Callable[[], bool] = confirm) -> bool:
         asked.set()
         release.wait(5.0)
         return answer()
 
-    known.access._confirm = wait
+    known.access._confirm_configuration = wait
     threads = [
         threading.Thread(target=known.problem, args=(b"Bearer f%d" % number,))
         for number in range(5)
--- a/tools/cost_organisations.py
+++ b/tools/cost_organisations.py
@@ -13,14 +13,14 @@
 
 from carobspool_core import boottime_clock
 from carobspool_core.organisations import (
-    Neighbour,
+    KnownPeer,
     Organisation,
     OrganisationDirectory,
     RateLimit,
     RequestLimits,
     key_digest,
 )
-from carobspool_node.organisations import CallerAccess, RequestQuota
+from carobspool_node.organisations import CallerAuthenticator, RequestQuota
 
 REQUESTS = 20_000
 TICK_S = 0.001
@@ -75,11 +75,16 @@
     pause = longest_pause(lambda: found.append(directory_of(organisations)))
     took = (time.process_time() - started) * 1000.0
     clock = boottime_clock()
-    peers = [Neighbour(name=f"e{number}", heard=clock.now() + 1e9) for number in range(entries - 1)]
-    quota = RequestQuota(clock, neighbours=lambda: peers)
+    peers = [
+        KnownPeer(name=f"e{number}", last_heard_at=clock.now() + 1e9)
+        for number in range(entries - 1)
+    ]
+    quota = RequestQuota(clock, known_peers=lambda: peers)
     quota_pause = longest_pause(lambda: quota.configure(found[0]))
     memory = (resource.getrusage(resource.RUSAGE_SELF).ru_maxrss - before) / 1024.0
-    access = CallerAccess(clock, directory=lambda: found[0], confirm=lambda: True)
+    access = CallerAuthenticator(
+        clock, directory=lambda: found[0], confirm_configuration=lambda: True
+    )
     keys = [[f"Bearer key-{number % organisations}-b".encode()] for number in range(REQUESTS)]
     names = [f"organisation-{number % organisations}" for number in range(REQUESTS)]
     print(
@@ -100,7 +105,7 @@
     for each in directory:
         limits.admit(each.name, 0.0)
     started = time.process_time()
-    limits.forget_idle(0.0, idle=1.0)
+    limits.drop_idle(0.0, idle=1.0)
     return (time.process_time() - started) * 1000.0
 
 
