--- a/packages/node/tests/test_fleet_load.py
+++ b/packages/node/tests/test_fleet_load.py
@@ -6,8 +6,8 @@
 from dataclasses import replace
 
 import pytest
-from fleet_load import FleetPlan, play_fleet
-from ideal_schedule import most_in_time, share_in_time
+from fleet_load import FleetPlan, simulate_fleet
+from ideal_schedule import ideal_fraction_in_time, max_fraction_in_time
 
 from carobspool_core.direct import _placement as placement
 
@@ -26,7 +26,7 @@
     Guards against two faults. When every entry chose the least loaded upstream of all, the entries
     chose the same ones, and only 95.3% of the streams began within 300 ms. Batch runs were
     preempted eight at a time, which made 2,700 interruptions of 330 items."""
-    report = play_fleet(LARGE, seed)
+    report = simulate_fleet(LARGE, seed)
     assert report.refused == 0
     assert report.on_time(300.0) > 0.975
     assert report.interruptions < 1_000
@@ -36,7 +36,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_a_fleet_of_nine_engines_serves_bursts_and_batch(seed: int) -> None:
-    report = play_fleet(MIDDLE, seed)
+    report = simulate_fleet(MIDDLE, seed)
     assert report.on_time(300.0) > 0.98
     assert report.interruptions < 350
     assert len(report.items) == report.submitted
@@ -63,8 +63,8 @@
     """Bursts fill nearly all slots of 27 engines. Several of the 24 entries choose the same engine,
     and a stream waits there while slots are free elsewhere. With hints every 100 ms this made 5.1%
     and 3.9% of the streams late, with hints every 50 ms 2.8% and 1.7%."""
-    several = play_fleet(CROWDED, seed).on_time(CROWDED.target)
-    one = play_fleet(replace(CROWDED, entries=1), seed).on_time(CROWDED.target)
+    several = simulate_fleet(CROWDED, seed).on_time(CROWDED.target)
+    one = simulate_fleet(replace(CROWDED, entries=1), seed).on_time(CROWDED.target)
     assert one - several < MAX_LATE_BY_OLD_HINTS
 
 
@@ -88,8 +88,8 @@
     """Bursts need slightly more than all slots of 30 engines, which 58 entries share. Guards
     against sending loads at fixed intervals: streams queued behind placements that no peer knew of
     yet."""
-    several = play_fleet(HALLS, seed)
-    one = play_fleet(replace(HALLS, entries=1), seed)
+    several = simulate_fleet(HALLS, seed)
+    one = simulate_fleet(replace(HALLS, entries=1), seed)
     assert one.on_time(HALLS.target) - several.on_time(HALLS.target) < MAX_LATE_AMONG_MANY
     assert len(several.items) == several.submitted
     assert several.hints < 30 * HALLS.entries * HALLS.length / 1_000.0
@@ -112,8 +112,8 @@
     """Two groups of 16 entries learn of each other's loads only twice a second. A stream that finds
     no slot in its own group goes to the other one, and no group may be late while the other has
     room."""
-    grouped = play_fleet(GROUPED)
-    one = play_fleet(replace(GROUPED, groups=1))
+    grouped = simulate_fleet(GROUPED)
+    one = simulate_fleet(replace(GROUPED, groups=1))
     assert one.on_time(GROUPED.target) - grouped.on_time(GROUPED.target) < MAX_LATE_AMONG_MANY
     assert grouped.refused == 0
     assert len(grouped.items) == grouped.submitted
@@ -142,7 +142,7 @@
     Guards against running items strictly in the order of their due times: each waited a little too
     long, and 62% were in time on both fleets. Late items wait for those that can still be in time,
     and all end long before they may be given up."""
-    reports = [play_fleet(plan, seed) for seed in (1, 2, 3)]
+    reports = [simulate_fleet(plan, seed) for seed in (1, 2, 3)]
     items = [each for report in reports for each in report.items]
     submitted = sum(report.submitted for report in reports)
     assert sum(each <= plan.due for each in items) / submitted > on_time
@@ -167,7 +167,7 @@
     has 97% of the items in time. Guards against always keeping two slots of each engine free for
     streams, which made 12% of the items late. Delayed items may use these slots, without delay for
     the streams."""
-    reports = [play_fleet(FULL, seed) for seed in (1, 2, 3, 4)]
+    reports = [simulate_fleet(FULL, seed) for seed in (1, 2, 3, 4)]
     items = [each for report in reports for each in report.items]
     submitted = sum(report.submitted for report in reports)
     assert sum(each <= FULL.due for each in items) / submitted > 0.9
@@ -180,8 +180,8 @@
     """The reference is a scheduler with full knowledge and no delay, near full load and when a rush
     of jobs meets five engines. Old hints, reserved slots and preemptions cost less than a tenth."""
     seeds = (1, 2, 3, 4)
-    possible = sum(share_in_time(plan, seed) for seed in seeds) / len(seeds)
-    reports = [play_fleet(plan, seed) for seed in seeds]
+    possible = sum(ideal_fraction_in_time(plan, seed) for seed in seeds) / len(seeds)
+    reports = [simulate_fleet(plan, seed) for seed in seeds]
     in_time = sum(each <= plan.due for report in reports for each in report.items)
     reached = in_time / sum(report.submitted for report in reports)
     assert possible > 0.85
@@ -205,10 +205,10 @@
     """Twice as much batch work arrives as the engines can do, for longer than an item may wait.
     Guards against running those items first that are about to be given up: 15% were on time and the
     rest late. The slots go to items that can still be on time."""
-    report = play_fleet(OVERLOADED)
+    report = simulate_fleet(OVERLOADED)
     in_time = sum(each <= OVERLOADED.due for each in report.items) / report.submitted
-    assert most_in_time(OVERLOADED) < 0.65
-    assert in_time > 0.75 * most_in_time(OVERLOADED)
+    assert max_fraction_in_time(OVERLOADED) < 0.65
+    assert in_time > 0.75 * max_fraction_in_time(OVERLOADED)
     assert report.on_time(OVERLOADED.target) > 0.98
 
 
@@ -216,8 +216,8 @@
     """Three of twenty engines fail half of their requests at once, which makes them look idle. A
     single entry sees a failure there every other second and tries again after one second. With the
     failures that their peers report, the entries avoid the three engines together."""
-    unshared = play_fleet(replace(LARGE, failing_engines=3, report_failures=False))
-    shared = play_fleet(replace(LARGE, failing_engines=3))
+    unshared = simulate_fleet(replace(LARGE, failing_engines=3, report_failures=False))
+    shared = simulate_fleet(replace(LARGE, failing_engines=3))
     assert unshared.failed > 100
     assert shared.failed < 0.6 * unshared.failed
     assert shared.on_time(300.0) > 0.9
--- a/tests/direct/test_entry_exit.py
+++ b/tests/direct/test_entry_exit.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 
 import pytest
-from direct_harness import Answer, Deployment, Entry, deployment, eventually, route, submission
+from direct_harness import Answer, Deployment, Entry, deployment, eventually, job_body, route
 
 from carobspool_standins.platform_server import stream_events
 
@@ -75,7 +75,11 @@
     A connection that was still in the accept queue when the process ended was not read.
     """
     broken = [each for each, answer in found.items() if not answer.complete]
-    return [each for each in broken if found[each].status or entry.logged(f"request={each} ")]
+    return [
+        each
+        for each in broken
+        if found[each].status or entry.log_lines_containing(f"request={each} ")
+    ]
 
 
 def test_a_request_that_comes_while_an_entry_exits_is_not_cut(system: Deployment) -> None:
@@ -83,12 +87,12 @@
     its last log lines takes a second. Requests that arrive in that second must be refused as not
     run, or answered with the whole stream. The entry used to forward these streams and cut them
     when the last line was written."""
-    server = system.server("engine", stream_events(10, pause_s=0.1))
+    server = system.start_server("engine", stream_events(10, pause_s=0.1))
     pipe = _UnreadPipe()
-    entry = system.entry("e1", output=pipe.writer)
+    entry = system.start_entry("e1", output=pipe.writer)
     assert entry.call("POST", "/stream/x", body=b"b").complete
     pipe.fill()
-    entry.signal(signal.SIGTERM)
+    entry.send_signal(signal.SIGTERM)
     time.sleep(DRAINED_S)
     found: dict[str, Answer] = {}
     callers = [
@@ -110,11 +114,11 @@
 def test_an_entry_whose_output_nobody_reads_exits_in_its_time(system: Deployment) -> None:
     """The reader of the entry's output has stopped for good. The entry must still exit before it is
     killed. It used to wait until its last lines were written, and accepted requests meanwhile."""
-    system.server("engine", stream_events(2))
+    system.start_server("engine", stream_events(2))
     pipe = _UnreadPipe()
-    entry = system.entry("e1", output=pipe.writer)
+    entry = system.start_entry("e1", output=pipe.writer)
     pipe.fill()
-    entry.signal(signal.SIGTERM)
+    entry.send_signal(signal.SIGTERM)
     assert entry.process.wait(timeout=6) == 0
 
 
@@ -122,16 +126,16 @@
     """The store is slow while an entry shuts down, and jobs are submitted shortly before its exit.
     Each caller must receive an answer before the process exits, or an immediate refusal. The
     connection used to break, and the caller could not know whether its job was accepted."""
-    system.server("engine", stream_events(30, pause_s=0.2))
+    system.start_server("engine", stream_events(30, pause_s=0.2))
     long = route("/stream/", "streaming", "engine", max_attempts=1, timeout_ms=9_000)
-    system.configure(2, long, route("/batch/", "batch", "engine", retention_s=60))
-    entry = system.entry("e1")
+    system.write_configuration(2, long, route("/batch/", "batch", "engine", retention_s=60))
+    entry = system.start_entry("e1")
     stream = threading.Thread(
         target=lambda: entry.call("POST", "/stream/x", body=b"b", headers={"Deadline-Ms": "9000"})
     )
     stream.start()
     time.sleep(0.3)
-    entry.signal(signal.SIGTERM)
+    entry.send_signal(signal.SIGTERM)
     began = time.monotonic()
     time.sleep(0.3)
     system.objects.faults.delay_s = 1.2
@@ -139,7 +143,7 @@
     callers: list[threading.Thread] = []
     while entry.process.poll() is None and time.monotonic() - began < 6.0:
         name = f"j{len(callers)}"
-        arguments = (entry, found, "/batch/1", name, submission(f"{name}i"))
+        arguments = (entry, found, "/batch/1", name, job_body(f"{name}i"))
         callers.append(threading.Thread(target=_call, args=arguments))
         callers[-1].start()
         time.sleep(0.1)
--- a/tests/direct/test_foreign_records.py
+++ b/tests/direct/test_foreign_records.py
@@ -12,7 +12,7 @@
 
 import cbor2
 import pytest
-from direct_harness import Deployment, Entry, deployment, eventually, finished, submission
+from direct_harness import Deployment, Entry, all_results, deployment, eventually, job_body
 
 from carobspool_standins.platform_server import (
     PlatformServer,
@@ -73,9 +73,9 @@
     """Another writer makes one of three registrations invalid and valid again, once for each fault.
     Callers must be answered throughout. The server gets no request while its registration is
     invalid, and is used again afterwards. Each change is logged once."""
-    others = [system.server("plain", _answer) for _ in range(2)]
-    server = system.server("plain", _answer)
-    entry = system.entry("e1")
+    others = [system.start_server("plain", _answer) for _ in range(2)]
+    server = system.start_server("plain", _answer)
+    entry = system.start_entry("e1")
     for number, fault in enumerate(FAULTS):
         _register(system, server, sequence=number)
         eventually(lambda: _calls_at(entry, server) > 0, 3)
@@ -83,7 +83,7 @@
         time.sleep(DETECTION_TIME_S)
         assert _calls_at(entry, server) == 0, fault
     assert all(other.seen for other in others)
-    bad = entry.logged("event=bad_registration")
+    bad = entry.log_lines_containing("event=bad_registration")
     assert len(bad) == len(FAULTS)
     assert all(f"upstream={server.instance}" in line for line in bad)
 
@@ -154,11 +154,11 @@
     """Two entries run a job each. Other writers register entries with invalid addresses and send
     invalid hints and calls. Calls must be refused with 400, and the entries must still receive each
     other's hints: an entry without hints counts as dead, and its job runs again elsewhere."""
-    system.server("engine", stream_events(10, pause_s=0.5))
-    entries = [system.entry("e1"), system.entry("e2")]
+    system.start_server("engine", stream_events(10, pause_s=0.5))
+    entries = [system.start_entry("e1"), system.start_entry("e2")]
     time.sleep(1.0)
     for entry in entries:
-        body = submission(f"{entry.name}-item")
+        body = job_body(f"{entry.name}-item")
         assert entry.call("POST", "/batch/j", body=body, request_id=entry.name).status == 202
     for number, value in enumerate(BAD_ENTRIES):
         system.objects.put("entries", f"bad-{number}", value)
@@ -169,12 +169,12 @@
     assert statuses == [400] * len(BAD_CALLS)
     time.sleep(4.0)
     for entry in entries:
-        assert entry.logged("event=peer_lost") == []
-        assert entry.logged("event=job_taken_over") == []
-        eventually(lambda e=entry: finished(e, e.name), 8)
-    assert len(entries[0].logged("event=bad_hint")) == len(BAD_HINTS)
+        assert entry.log_lines_containing("event=peer_lost") == []
+        assert entry.log_lines_containing("event=job_taken_over") == []
+        eventually(lambda e=entry: all_results(e, e.name), 8)
+    assert len(entries[0].log_lines_containing("event=bad_hint")) == len(BAD_HINTS)
     for number in range(len(BAD_ENTRIES)):
-        assert len(entries[1].logged(f"event=bad_entry entry=bad-{number} ")) == 1
+        assert len(entries[1].log_lines_containing(f"event=bad_entry entry=bad-{number} ")) == 1
 
 
 def _call_as_peer(entry: Entry, operation: str, body: bytes) -> int:
@@ -200,8 +200,8 @@
     """Another writer fills the list of servers with invalid registrations and keeps changing some
     of them. The valid servers must still answer callers, and the entry's memory, processor time and
     number of log lines must stay within their bounds."""
-    servers = [system.server("plain", _answer) for _ in range(GOOD_COUNT)]
-    entry = system.entry("e1")
+    servers = [system.start_server("plain", _answer) for _ in range(GOOD_COUNT)]
+    entry = system.start_entry("e1")
     time.sleep(3.0)
     before_mb = _peak_mb(entry)
     for number in range(BAD_COUNT):
@@ -219,7 +219,7 @@
         time.sleep(0.5)
     share = (_cpu_s(entry) - quiet) / (time.monotonic() - began)
     added_mb = _peak_mb(entry) - before_mb
-    lines = len(entry.logged("registration"))
+    lines = len(entry.log_lines_containing("registration"))
     print(f"figures: cpu {share:.3f} of a core, memory +{added_mb:.1f} MB, lines {lines}")
     assert all(server.seen for server in servers)
     assert share < CPU_SHARE
--- a/tests/direct/test_job_ends.py
+++ b/tests/direct/test_job_ends.py
@@ -19,7 +19,7 @@
 from pathlib import Path
 
 import pytest
-from direct_harness import Deployment, Entry, deployment, eventually, submission
+from direct_harness import Deployment, Entry, deployment, eventually, job_body
 
 from carobspool_standins.platform_server import ServedRequest, ServerConnection
 
@@ -55,11 +55,11 @@
 
 def _start_entries_with_job(system: Deployment, engine: _RefusingEngine) -> tuple[Entry, Entry]:
     """Start two entries that know each other; the first owns a job that makes no progress."""
-    system.server("engine", engine.behave)
-    owner, other = system.entry("e1"), system.entry("e2")
-    eventually(lambda: other.logged("event=peer_seen peer=e1"), 3)
+    system.start_server("engine", engine.behave)
+    owner, other = system.start_entry("e1"), system.start_entry("e2")
+    eventually(lambda: other.log_lines_containing("event=peer_seen peer=e1"), 3)
     time.sleep(5.0)
-    assert owner.call("POST", "/batch/j", body=submission(*IDS), request_id="j").status == 202
+    assert owner.call("POST", "/batch/j", body=job_body(*IDS), request_id="j").status == 202
     eventually(lambda: engine.arrivals, 3)
     return owner, other
 
@@ -81,7 +81,7 @@
             silent.enter_context(socket.create_connection(address))
         assert other.call("DELETE", "/api/lots/j").status == 200
         _assert_no_arrival_after_bound(engine, time.monotonic())
-    assert other.logged("event=job_ended job=j through=store")
+    assert other.log_lines_containing("event=job_ended job=j through=store")
 
 
 def test_owner_that_was_frozen_starts_no_item_of_an_ended_job(system: Deployment) -> None:
@@ -89,12 +89,12 @@
     verifies its ownership in the store. It still owns the job, but the job has been ended."""
     engine = _RefusingEngine()
     owner, other = _start_entries_with_job(system, engine)
-    owner.signal(signal.SIGSTOP)
+    owner.send_signal(signal.SIGSTOP)
     time.sleep(0.5)
     assert other.call("DELETE", "/api/lots/j").status == 200
     acknowledged = time.monotonic()
     time.sleep(1.5)
-    owner.signal(signal.SIGCONT)
+    owner.send_signal(signal.SIGCONT)
     _assert_no_arrival_after_bound(engine, acknowledged)
 
 
@@ -116,9 +116,9 @@
 def test_end_without_an_owner_during_an_outage_is_reported_as_not_done(system: Deployment) -> None:
     """No entry owns the job and the store refuses every call. The end cannot have taken effect, and
     the caller may be told so."""
-    owner, other = system.entry("e1"), system.entry("e2")
-    assert owner.call("POST", "/batch/j", body=submission(*IDS), request_id="j").status == 202
-    owner.signal(signal.SIGKILL)
+    owner, other = system.start_entry("e1"), system.start_entry("e2")
+    assert owner.call("POST", "/batch/j", body=job_body(*IDS), request_id="j").status == 202
+    owner.send_signal(signal.SIGKILL)
     system.objects.faults.status = 503
     time.sleep(3.0)
     answer = other.call("DELETE", "/api/lots/j")
--- a/tests/direct/test_jobs.py
+++ b/tests/direct/test_jobs.py
@@ -14,11 +14,11 @@
 from direct_harness import (
     Deployment,
     Entry,
+    all_results,
     deployment,
     eventually,
-    finished,
-    read_results,
-    submission,
+    fetch_results_page,
+    job_body,
 )
 
 from carobspool_standins.platform_server import (
@@ -42,7 +42,7 @@
     """Return all results of a finished job, page by page; empty when it is not finished."""
     found: list[dict[str, str]] = []
     while True:
-        page = read_results(entry, job_id, after=len(found))
+        page = fetch_results_page(entry, job_id, after=len(found))
         if isinstance(page, int) or not page["results"]:
             return []
         found.extend(page["results"])
@@ -56,19 +56,19 @@
 
 
 def test_job_is_accepted_once_and_readable_at_every_entry(system: Deployment) -> None:
-    system.server("engine", stream_events(EVENTS))
-    first, second = system.entry("e1"), system.entry("e2")
+    system.start_server("engine", stream_events(EVENTS))
+    first, second = system.start_entry("e1"), system.start_entry("e2")
     ids = [f"i{number}" for number in range(12)]
     for entry in (first, second, first):
-        assert entry.call("POST", "/batch/j", body=submission(*ids), request_id="j").status == 202
+        assert entry.call("POST", "/batch/j", body=job_body(*ids), request_id="j").status == 202
     for entry in (first, second):
-        _assert_complete(eventually(lambda e=entry: finished(e, "j"), 10), ids)
-        page = read_results(entry, "j", after=10)
+        _assert_complete(eventually(lambda e=entry: all_results(e, "j"), 10), ids)
+        page = fetch_results_page(entry, "j", after=10)
         assert isinstance(page, dict)
         assert (page["total"], page["next_token"], len(page["results"])) == (12, 12, 2)
         assert entry.call("GET", "/api/items/j?id=i3").body == b"i3"
         assert entry.call("GET", "/api/items/j?id=none").status == 404
-        assert read_results(entry, "unknown") == 404
+        assert fetch_results_page(entry, "unknown") == 404
 
 
 @pytest.mark.parametrize("fault", [signal.SIGKILL, signal.SIGTERM, signal.SIGSTOP])
@@ -78,26 +78,26 @@
     """The owner is killed, terminated or frozen after it has committed some results. The other
     entry continues the job: results that were read keep their positions, none is listed twice, and
     a frozen owner that resumes changes nothing."""
-    system.server("engine", stream_events(EVENTS, pause_s=0.25))
-    owner, other = system.entry("e1"), system.entry("e2")
+    system.start_server("engine", stream_events(EVENTS, pause_s=0.25))
+    owner, other = system.start_entry("e1"), system.start_entry("e2")
     time.sleep(2.6)
     ids = [f"i{number}" for number in range(20)]
-    assert owner.call("POST", "/batch/j", body=submission(*ids), request_id="j").status == 202
+    assert owner.call("POST", "/batch/j", body=job_body(*ids), request_id="j").status == 202
 
     def some() -> list[dict[str, str]]:
-        page = read_results(other, "j")
+        page = fetch_results_page(other, "j")
         return page["results"] if isinstance(page, dict) else []
 
     before = eventually(some, 8)
-    owner.signal(fault)
-    results = eventually(lambda: finished(other, "j"), 20)
+    owner.send_signal(fault)
+    results = eventually(lambda: all_results(other, "j"), 20)
     _assert_complete(results, ids)
     assert results[: len(before)] == before
     if fault is signal.SIGSTOP:
-        owner.signal(signal.SIGCONT)
+        owner.send_signal(signal.SIGCONT)
         time.sleep(0.5)
-        assert eventually(lambda: finished(owner, "j"), 5) == results
-        assert finished(other, "j") == results
+        assert eventually(lambda: all_results(owner, "j"), 5) == results
+        assert all_results(other, "j") == results
 
 
 def test_owner_killed_during_a_store_outage_is_replaced_after_the_outage(
@@ -105,58 +105,58 @@
 ) -> None:
     """The owner is killed while the store refuses every call, so that the first attempt to take its
     job over fails. The job must still continue soon after the outage."""
-    system.server("engine", stream_events(EVENTS, pause_s=0.4))
-    owner, other = system.entry("e1"), system.entry("e2")
+    system.start_server("engine", stream_events(EVENTS, pause_s=0.4))
+    owner, other = system.start_entry("e1"), system.start_entry("e2")
     time.sleep(2.6)
     ids = [f"i{number}" for number in range(8)]
-    assert owner.call("POST", "/batch/j", body=submission(*ids), request_id="j").status == 202
+    assert owner.call("POST", "/batch/j", body=job_body(*ids), request_id="j").status == 202
     time.sleep(0.7)
     system.objects.faults.status = 503
-    owner.signal(signal.SIGKILL)
+    owner.send_signal(signal.SIGKILL)
     time.sleep(4.0)
     system.objects.faults.status = 0
-    _assert_complete(eventually(lambda: finished(other, "j"), 8), ids)
+    _assert_complete(eventually(lambda: all_results(other, "j"), 8), ids)
 
 
 def test_accepted_job_survives_the_kill_of_all_entries(system: Deployment) -> None:
     """All entries are killed after the job is acknowledged and before an item has run. New entries
     find the job in the store and run it."""
-    entries = [system.entry("e1"), system.entry("e2")]
-    body = submission("a", "b")
+    entries = [system.start_entry("e1"), system.start_entry("e2")]
+    body = job_body("a", "b")
     assert entries[0].call("POST", "/batch/j", body=body, request_id="j").status == 202
     for entry in entries:
-        entry.signal(signal.SIGKILL)
-    system.server("engine", stream_events(EVENTS))
-    fresh = [system.entry(name, first_start=False) for name in ("e1", "e2")]
-    _assert_complete(eventually(lambda: finished(fresh[1], "j"), 12), ["a", "b"])
+        entry.send_signal(signal.SIGKILL)
+    system.start_server("engine", stream_events(EVENTS))
+    fresh = [system.start_entry(name, first_start=False) for name in ("e1", "e2")]
+    _assert_complete(eventually(lambda: all_results(fresh[1], "j"), 12), ["a", "b"])
 
 
 def test_job_that_no_hint_has_named_is_found(system: Deployment) -> None:
     """An entry accepts a job and is gone for good before a hint that names the job arrives, since
     hints are datagrams and may be lost. The job used to stay in the store without an owner until
     some entry started. Entries now list the store whenever a peer does not come back."""
-    owner = system.entry("e1")
-    assert owner.call("POST", "/batch/j", body=submission("a"), request_id="j").status == 202
-    owner.signal(signal.SIGKILL)
+    owner = system.start_entry("e1")
+    assert owner.call("POST", "/batch/j", body=job_body("a"), request_id="j").status == 202
+    owner.send_signal(signal.SIGKILL)
     owner.process.wait()
-    system.server("engine", stream_events(EVENTS))
-    entry, other = system.entry("e2"), system.entry("e3")
-    eventually(lambda: entry.logged("event=peer_seen peer=e3"), 5)
-    other.signal(signal.SIGKILL)
-    _assert_complete(eventually(lambda: finished(entry, "j"), 15), ["a"])
+    system.start_server("engine", stream_events(EVENTS))
+    entry, other = system.start_entry("e2"), system.start_entry("e3")
+    eventually(lambda: entry.log_lines_containing("event=peer_seen peer=e3"), 5)
+    other.send_signal(signal.SIGKILL)
+    _assert_complete(eventually(lambda: all_results(entry, "j"), 15), ["a"])
 
 
 def test_restarted_owner_resumes_its_items_from_the_last_commit(system: Deployment) -> None:
     """The owner is killed when an item of four seconds has run for three and its job has no result
     yet. The same host starts again at once. The item resumes after its committed events instead of
     from its beginning, and without waiting until the entries know each other."""
-    server = system.server("engine", stream_events(40, pause_s=0.1))
-    first = system.entry("e1")
-    assert first.call("POST", "/batch/j", body=submission("a"), request_id="j").status == 202
-    eventually(lambda: first.logged("event=job_commit"), 6)
-    first.signal(signal.SIGKILL)
-    again = system.entry("e1", first_start=False)
-    results = eventually(lambda: finished(again, "j"), 4)
+    server = system.start_server("engine", stream_events(40, pause_s=0.1))
+    first = system.start_entry("e1")
+    assert first.call("POST", "/batch/j", body=job_body("a"), request_id="j").status == 202
+    eventually(lambda: first.log_lines_containing("event=job_commit"), 6)
+    first.send_signal(signal.SIGKILL)
+    again = system.start_entry("e1", first_start=False)
+    results = eventually(lambda: all_results(again, "j"), 4)
     assert results[0]["text"].split("\n") == [f"piece {number}" for number in range(1, 41)]
     resumed = [int(each.headers.get("last-event-id", "0")) for each in server.seen]
     assert len(resumed) == 2
@@ -166,13 +166,13 @@
 def test_owner_that_shuts_down_hands_over_the_events_of_its_items(system: Deployment) -> None:
     """The owner receives SIGTERM in the middle of an item. Another entry resumes the item after its
     last event; the whole item used to run again."""
-    server = system.server("engine", stream_events(30, pause_s=0.1))
-    first, other = system.entry("e1"), system.entry("e2")
+    server = system.start_server("engine", stream_events(30, pause_s=0.1))
+    first, other = system.start_entry("e1"), system.start_entry("e2")
     time.sleep(1.0)
-    assert first.call("POST", "/batch/j", body=submission("a"), request_id="j").status == 202
+    assert first.call("POST", "/batch/j", body=job_body("a"), request_id="j").status == 202
     time.sleep(1.6)
-    first.signal(signal.SIGTERM)
-    results = eventually(lambda: finished(other, "j"), 6)
+    first.send_signal(signal.SIGTERM)
+    results = eventually(lambda: all_results(other, "j"), 6)
     assert results[0]["text"].split("\n") == [f"piece {number}" for number in range(1, 31)]
     resumed = [int(each.headers.get("last-event-id", "0")) for each in server.seen]
     assert len(resumed) == 2
@@ -193,11 +193,11 @@
         else:
             stream_events(EVENTS)(request, connection)
 
-    system.server("engine", behave)
-    entry = system.entry("e1")
-    body = submission("bad", "never", "good")
+    system.start_server("engine", behave)
+    entry = system.start_entry("e1")
+    body = job_body("bad", "never", "good")
     assert entry.call("POST", "/batch/j", body=body, request_id="j").status == 202
-    results = eventually(lambda: finished(entry, "j"), 10)
+    results = eventually(lambda: all_results(entry, "j"), 10)
     states = {each["id"]: each["state"] for each in results}
     assert states == {"bad": "dead_letter", "never": "dead_letter", "good": "completed"}
     assert runs == {"bad": 3, "never": 1, "good": 1}
@@ -205,10 +205,10 @@
 
 def test_ended_job_starts_no_further_items(system: Deployment) -> None:
     """The job is ended through an entry that does not own it, while its items run."""
-    server = system.server("engine", stream_events(EVENTS, pause_s=0.5))
-    owner, other = system.entry("e1"), system.entry("e2")
+    server = system.start_server("engine", stream_events(EVENTS, pause_s=0.5))
+    owner, other = system.start_entry("e1"), system.start_entry("e2")
     ids = [f"i{number}" for number in range(30)]
-    assert owner.call("POST", "/batch/j", body=submission(*ids), request_id="j").status == 202
+    assert owner.call("POST", "/batch/j", body=job_body(*ids), request_id="j").status == 202
     eventually(lambda: server.seen, 3)
     time.sleep(0.7)
     assert other.call("DELETE", "/api/lots/j").status == 200
@@ -216,15 +216,15 @@
     time.sleep(1.5)
     assert len(server.seen) == started
     assert other.call("DELETE", "/api/lots/j").status == 200
-    assert owner.call("POST", "/batch/j", body=submission(*ids), request_id="j").status == 202
+    assert owner.call("POST", "/batch/j", body=job_body(*ids), request_id="j").status == 202
 
 
 def test_job_is_accepted_once_when_the_answer_of_the_store_is_lost(system: Deployment) -> None:
-    system.server("engine", stream_events(EVENTS))
-    entry = system.entry("e1")
+    system.start_server("engine", stream_events(EVENTS))
+    entry = system.start_entry("e1")
     system.objects.faults.lose_answers = 1
-    assert entry.call("POST", "/batch/j", body=submission("a"), request_id="j").status == 202
-    _assert_complete(eventually(lambda: finished(entry, "j"), 10), ["a"])
+    assert entry.call("POST", "/batch/j", body=job_body("a"), request_id="j").status == 202
+    _assert_complete(eventually(lambda: all_results(entry, "j"), 10), ["a"])
 
 
 def test_store_outage_refuses_new_jobs_at_once_and_accepted_ones_continue(
@@ -232,19 +232,19 @@
 ) -> None:
     """The store refuses every call for some seconds. A job refused meanwhile never runs. The job
     accepted before keeps running, and its results are readable after the outage."""
-    server = system.server("engine", stream_events(EVENTS, pause_s=0.1))
-    entry = system.entry("e1")
-    assert entry.call("POST", "/batch/j", body=submission("a", "b"), request_id="j").status == 202
+    server = system.start_server("engine", stream_events(EVENTS, pause_s=0.1))
+    entry = system.start_entry("e1")
+    assert entry.call("POST", "/batch/j", body=job_body("a", "b"), request_id="j").status == 202
     system.objects.faults.status = 503
     began = time.monotonic()
-    refused = entry.call("POST", "/batch/k", body=submission("c"), request_id="k")
+    refused = entry.call("POST", "/batch/k", body=job_body("c"), request_id="k")
     assert refused.status == 503
     assert float(refused.headers["retry-after"]) > 0
     assert time.monotonic() - began < 1.0
-    assert read_results(entry, "k") == 503
+    assert fetch_results_page(entry, "k") == 503
     time.sleep(1.5)
     system.objects.faults.status = 0
-    _assert_complete(eventually(lambda: finished(entry, "j"), 5), ["a", "b"])
+    _assert_complete(eventually(lambda: all_results(entry, "j"), 5), ["a", "b"])
     assert "c" not in {each.request_id for each in server.seen}
 
 
@@ -259,18 +259,18 @@
             connection.event(number, words)
         connection.end_events()
 
-    system.server("engine", behave)
-    owner, other = system.entry("e1"), system.entry("e2")
+    system.start_server("engine", behave)
+    owner, other = system.start_entry("e1"), system.start_entry("e2")
     time.sleep(2.6)
     ids = [f"i{number}" for number in range(12)]
-    items = json.loads(submission(*ids))["items"]
+    items = json.loads(job_body(*ids))["items"]
     for item in items:
         item["body"] = base64.b64encode(item["id"].encode() * 40_000).decode()
     body = json.dumps({"items": items}).encode()
     assert len(body) > 1_048_576
     assert owner.call("POST", "/batch/j", body=body, request_id="j").status == 202
     eventually(lambda: _read_all(other, "j"), 10)
-    owner.signal(signal.SIGKILL)
+    owner.send_signal(signal.SIGKILL)
     time.sleep(3.0)
     results = _read_all(other, "j")
     assert Counter(each["id"] for each in results) == Counter(ids)
@@ -281,11 +281,11 @@
 
 
 def test_job_over_the_waiting_quota_is_refused(system: Deployment) -> None:
-    system.server("engine", stream_events(EVENTS, pause_s=2.0))
-    entry = system.entry("e1")
-    big = submission("a", "b", tokens=40_000)
+    system.start_server("engine", stream_events(EVENTS, pause_s=2.0))
+    entry = system.start_entry("e1")
+    big = job_body("a", "b", tokens=40_000)
     assert entry.call("POST", "/batch/j", body=big, request_id="j").status == 202
-    over = entry.call("POST", "/batch/k", body=submission("c", tokens=30_000), request_id="k")
+    over = entry.call("POST", "/batch/k", body=job_body("c", tokens=30_000), request_id="k")
     assert over.status == 429
     assert float(over.headers["retry-after"]) > 0
     assert entry.call("POST", "/batch/j", body=big, request_id="j").status == 202
@@ -294,14 +294,14 @@
 def test_online_requests_preempt_batch_items_which_resume(system: Deployment) -> None:
     """Batch items fill the only engine up to its reserve. An online request is served without
     waiting for an item to finish, and preempted items resume after their last event."""
-    server = system.server("engine", stream_events(20, pause_s=0.1))
-    entry = system.entry("e1")
+    server = system.start_server("engine", stream_events(20, pause_s=0.1))
+    entry = system.start_entry("e1")
     ids = [f"i{number}" for number in range(7)]
-    assert entry.call("POST", "/batch/j", body=submission(*ids), request_id="j").status == 202
+    assert entry.call("POST", "/batch/j", body=job_body(*ids), request_id="j").status == 202
     eventually(lambda: len(server.seen) >= 7, 3)
     time.sleep(0.5)
     began = time.monotonic()
     assert entry.call("POST", "/stream/a", body=b"x", timeout=5).complete
     assert time.monotonic() - began < 2.6
-    results = eventually(lambda: finished(entry, "j"), 20)
+    results = eventually(lambda: all_results(entry, "j"), 20)
     assert {len(each["text"].split("\n")) for each in results} == {20}
--- a/tests/direct/test_membership.py
+++ b/tests/direct/test_membership.py
@@ -14,11 +14,11 @@
     STANDARD_ROUTES,
     Answer,
     Deployment,
+    all_results,
     deployment,
     eventually,
-    finished,
+    job_body,
     route,
-    submission,
 )
 
 from carobspool_standins.platform_server import ServedRequest, ServerConnection, stream_events
@@ -38,11 +38,11 @@
 def test_changes_take_effect_although_every_watch_misses_them(system: Deployment) -> None:
     """The store's watches stay open without reporting that a route is added and a server leaves.
     Callers must be served by the current declarations within a few seconds."""
-    removed = system.server("plain", _answer)
-    system.server("plain", _answer)
-    entries = [system.entry("e1"), system.entry("e2")]
+    removed = system.start_server("plain", _answer)
+    system.start_server("plain", _answer)
+    entries = [system.start_entry("e1"), system.start_entry("e2")]
     system.objects.faults.deaf = True
-    system.configure(2, *STANDARD_ROUTES, route("/new/", "safe", "plain"))
+    system.write_configuration(2, *STANDARD_ROUTES, route("/new/", "safe", "plain"))
     system.objects.remove("servers", removed.instance)
     system.objects.compact()
     for entry in entries:
@@ -56,11 +56,11 @@
 
 
 def test_an_older_configuration_is_not_applied(system: Deployment) -> None:
-    system.server("plain", _answer)
-    entry = system.entry("e1")
-    system.configure(5, route("/new/", "safe", "plain"))
+    system.start_server("plain", _answer)
+    entry = system.start_entry("e1")
+    system.write_configuration(5, route("/new/", "safe", "plain"))
     eventually(lambda: entry.call("GET", "/new/x").status == 200, 2)
-    system.configure(4, route("/safe/", "safe", "plain"))
+    system.write_configuration(4, route("/safe/", "safe", "plain"))
     time.sleep(0.5)
     assert entry.call("GET", "/new/x").status == 200
     assert entry.call("GET", "/safe/x").status == 404
@@ -69,17 +69,17 @@
 def test_an_entry_that_the_store_refuses_works_through_a_peer(system: Deployment) -> None:
     """The store refuses one entry and serves the other. The refused entry still applies a change of
     the configuration, accepts a job, runs it and commits its results."""
-    system.server("plain", _answer)
-    system.server("engine", stream_events(4))
-    address, faults = system.second_address()
-    entry, other = system.entry("e1", store=address), system.entry("e2")
+    system.start_server("plain", _answer)
+    system.start_server("engine", stream_events(4))
+    address, faults = system.serve_second_address()
+    entry, other = system.start_entry("e1", store=address), system.start_entry("e2")
     time.sleep(1.0)
     faults.status = 503
-    system.configure(2, *STANDARD_ROUTES, route("/new/", "safe", "plain"))
+    system.write_configuration(2, *STANDARD_ROUTES, route("/new/", "safe", "plain"))
     eventually(lambda: entry.call("GET", "/new/x").status == 200, 4)
-    assert entry.call("POST", "/batch/j", body=submission("a"), request_id="j").status == 202
+    assert entry.call("POST", "/batch/j", body=job_body("a"), request_id="j").status == 202
     for each in (entry, other):
-        results = eventually(lambda e=each: finished(e, "j"), 8)
+        results = eventually(lambda e=each: all_results(e, "j"), 8)
         assert [result["state"] for result in results] == ["completed"]
 
 
@@ -87,7 +87,7 @@
     """The store is unavailable when the entry starts. The entry is not ready, and tells callers to
     retry instead of that their route does not exist."""
     system.objects.faults.status = 503
-    entry = system.entry("e1", wait=False)
+    entry = system.start_entry("e1", wait=False)
     answer = eventually(lambda: _try(entry.call, "GET", "/safe/x"), 8)
     assert (answer.status, entry.is_ready()) == (503, False)
     assert float(answer.headers["retry-after"]) > 0
@@ -96,8 +96,8 @@
 
 
 def test_a_draining_server_gets_no_new_requests(system: Deployment) -> None:
-    draining, staying = system.server("plain", _answer), system.server("plain", _answer)
-    entry = system.entry("e1")
+    draining, staying = system.start_server("plain", _answer), system.start_server("plain", _answer)
+    entry = system.start_entry("e1")
     system.objects.put(
         "servers", draining.instance, draining.registration("plain", state="draining")
     )
@@ -112,15 +112,15 @@
 def test_a_leaving_entry_finishes_its_streams_and_is_not_ready(system: Deployment) -> None:
     """SIGTERM arrives during a stream. The stream ends complete, a new request on an open
     connection is still served, and the process exits in time with code 0."""
-    system.server("engine", stream_events(10, pause_s=0.15))
-    entry = system.entry("e1")
+    system.start_server("engine", stream_events(10, pause_s=0.15))
+    entry = system.start_entry("e1")
     found: list[Answer] = []
     caller = threading.Thread(
         target=lambda: found.append(entry.call("POST", "/stream/x", body=b"b"))
     )
     caller.start()
     time.sleep(0.4)
-    entry.signal(signal.SIGTERM)
+    entry.send_signal(signal.SIGTERM)
     eventually(lambda: not entry.is_ready(), 1)
     second = entry.call("POST", "/stream/y", body=b"b")
     assert (second.status, second.complete) == (200, True)
@@ -134,11 +134,11 @@
     """Callers keep calling until the process has exited, since the balancer has no other entry.
     Each gets a complete stream, or is told at once that its request did not run. Guards against
     cutting off the last streams when the process exits."""
-    system.server("engine", stream_events(10, pause_s=0.1))
-    entry = system.entry("e1")
+    system.start_server("engine", stream_events(10, pause_s=0.1))
+    entry = system.start_entry("e1")
     for _ in range(3):
         assert entry.call("POST", "/stream/x", body=b"b").complete
-    entry.signal(signal.SIGTERM)
+    entry.send_signal(signal.SIGTERM)
     found: list[Answer] = []
     lock = threading.Lock()
 
@@ -172,11 +172,11 @@
     """A caller keeps a connection open without a request. The entry must still exit in time and
     serve new connections until then. Guards against waiting for the idle connection: the entry was
     killed, and left connections that it had accepted unanswered."""
-    system.server("plain", _answer)
-    entry = system.entry("e1")
+    system.start_server("plain", _answer)
+    entry = system.start_entry("e1")
     with socket.create_connection(("127.0.0.1", entry.port)):
         time.sleep(0.2)
-        entry.signal(signal.SIGTERM)
+        entry.send_signal(signal.SIGTERM)
         time.sleep(2.0)
         assert entry.call("GET", "/safe/x").status == 200
         assert entry.process.wait(timeout=3.5) == 0
--- a/tests/direct/test_online.py
+++ b/tests/direct/test_online.py
@@ -25,7 +25,7 @@
 def running(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Served]:
     """One entry for all tests of this file."""
     with deployment(tmp_path_factory.mktemp("online")) as system:
-        yield system, system.entry("e1")
+        yield system, system.start_entry("e1")
 
 
 @pytest.fixture
@@ -50,7 +50,7 @@
     def behave(request: ServedRequest, connection: ServerConnection) -> None:
         connection.answer(request, 418, b"\x00tea", "X-Own: 1\r\n")
 
-    server = system.server("plain", behave)
+    server = system.start_server("plain", behave)
     _settle()
     answer = entry.call("POST", "/safe/a?b=c", body=b"hello", headers={"X-Mine": "2"})
     assert (answer.status, answer.body) == (418, b"\x00tea")
@@ -75,7 +75,7 @@
         else:
             time.sleep(0.0)
 
-    system.server("plain", behave)
+    system.start_server("plain", behave)
     _settle()
     assert entry.call("GET", "/safe/first").body == b"/safe/first"
     time.sleep(0.5)
@@ -93,7 +93,7 @@
         earlier[:] = [request.request_id]
         connection.answer(request, 200, request.target.encode())
 
-    server = system.server("plain", behave)
+    server = system.start_server("plain", behave)
     _settle()
     for name in ("a", "b"):
         assert entry.call("GET", f"/safe/{name}").body == f"/safe/{name}".encode()
@@ -118,23 +118,23 @@
         connection.send(invalid)
         connection.close()
 
-    system.server("plain", answer_invalid)
+    system.start_server("plain", answer_invalid)
     _settle()
     answer = entry.call("POST", "/once/x", body=b"b")
     assert (answer.status, answer.headers["carobspool-outcome"]) == (502, "unknown")
     assert "retry-after" not in answer.headers
     assert len(system.servers[0].seen) == 1
-    system.server("plain", lambda request, connection: connection.answer(request))
+    system.start_server("plain", lambda request, connection: connection.answer(request))
     _settle()
     assert entry.call("GET", "/safe/x").body == b"ok"
 
 
 def test_a_request_that_one_server_rejects_runs_at_another(served: Served) -> None:
     system, entry = served
-    system.server("plain", lambda request, connection: connection.not_run(request))
+    system.start_server("plain", lambda request, connection: connection.not_run(request))
     _settle()
     assert entry.call("POST", "/once/x", body=b"b").status == 503
-    good = system.server("plain", lambda request, connection: connection.answer(request))
+    good = system.start_server("plain", lambda request, connection: connection.answer(request))
     _settle()
     for _ in range(4):
         assert entry.call("POST", "/once/x", body=b"b").status == 200
@@ -155,8 +155,8 @@
     """A registration remains of a server whose address another service's server now uses. That
     server rejects the request, which then runs at a server of the right service."""
     system, entry = served
-    good = system.server("plain", lambda request, connection: connection.answer(request))
-    stranger = system.server("other", lambda request, connection: connection.answer(request))
+    good = system.start_server("plain", lambda request, connection: connection.answer(request))
+    stranger = system.start_server("other", lambda request, connection: connection.answer(request))
     gone = stranger.registration("plain")
     system.objects.put("servers", "i-gone", gone)
     _settle()
@@ -167,7 +167,7 @@
 
 def test_the_time_limit_of_the_route_ends_the_wait(served: Served) -> None:
     system, entry = served
-    system.server("plain", lambda request, connection: time.sleep(8))
+    system.start_server("plain", lambda request, connection: time.sleep(8))
     _settle()
     began = time.monotonic()
     answer = entry.call("POST", "/once/x", body=b"b", headers={"Deadline-Ms": "600"})
@@ -185,7 +185,7 @@
         left.append(connection.peer_left(2.0))
         connection.close()
 
-    server = system.server("engine", behave)
+    server = system.start_server("engine", behave)
     _settle()
     with socket.create_connection(("127.0.0.1", entry.port)) as caller:
         caller.sendall(
@@ -199,7 +199,7 @@
 
 def test_events_arrive_complete_and_in_order(served: Served) -> None:
     system, entry = served
-    system.server("engine", stream_events(5, pause_s=0.02))
+    system.start_server("engine", stream_events(5, pause_s=0.02))
     _settle()
     answer = entry.call("POST", "/stream/x", body=b"b")
     assert answer.complete
@@ -224,8 +224,8 @@
     """The server resets the stream after two events. The caller must see that the answer is
     incomplete, and the request must not run a second time."""
     system, entry = served
-    first = system.server("engine", _break_after(2))  # type: ignore[arg-type]
-    second = system.server("engine", _break_after(2))  # type: ignore[arg-type]
+    first = system.start_server("engine", _break_after(2))  # type: ignore[arg-type]
+    second = system.start_server("engine", _break_after(2))  # type: ignore[arg-type]
     _settle()
     try:
         answer = entry.call("POST", "/stream/x", body=b"b")
@@ -238,10 +238,10 @@
 @pytest.mark.parametrize("rest", [b"", b"id: 3\nda"], ids=["between events", "within an event"])
 def test_a_resumable_stream_continues_at_its_next_event(served: Served, rest: bytes) -> None:
     system, entry = served
-    broken = system.server("engine", _break_after(2, rest))  # type: ignore[arg-type]
+    broken = system.start_server("engine", _break_after(2, rest))  # type: ignore[arg-type]
     _settle()
     threading.Timer(0.05, lambda: None).start()
-    good = system.server("engine", stream_events(4))
+    good = system.start_server("engine", stream_events(4))
     _settle()
     for _ in range(6):
         answer = entry.call("POST", "/resume/x", body=b"b")
@@ -274,7 +274,7 @@
     served: Served, head: str, status: int
 ) -> None:
     system, entry = served
-    server = system.server("plain", lambda request, connection: connection.answer(request))
+    server = system.start_server("plain", lambda request, connection: connection.answer(request))
     _settle()
     with socket.create_connection(("127.0.0.1", entry.port)) as caller:
         caller.settimeout(3.0)
@@ -299,7 +299,7 @@
             time.sleep(0.5)
         connection.answer(request)
 
-    servers = [system.server("plain", behave) for _ in range(2)]
+    servers = [system.start_server("plain", behave) for _ in range(2)]
     _settle()
     for _ in range(30):
         assert entry.call("POST", "/once/x", body=b"b").status == 200
@@ -329,8 +329,8 @@
 
 def test_the_log_contains_the_outcome_of_a_request(served: Served, tmp_path: Path) -> None:
     system, entry = served
-    system.server("plain", lambda request, connection: connection.answer(request))
+    system.start_server("plain", lambda request, connection: connection.answer(request))
     _settle()
     entry.call("GET", "/safe/x", request_id="logged")
-    (line,) = eventually(lambda: entry.logged("request=logged"), 2.0)
+    (line,) = eventually(lambda: entry.log_lines_containing("request=logged"), 2.0)
     assert "outcome=answered status=200" in line
--- a/tests/direct/test_organisations.py
+++ b/tests/direct/test_organisations.py
@@ -16,12 +16,12 @@
     STANDARD_ROUTES,
     Deployment,
     Entry,
+    all_results,
     configuration,
     deployment,
     eventually,
-    finished,
+    job_body,
     route,
-    submission,
 )
 
 from carobspool_core.organisations import qualified_job_id
@@ -60,11 +60,11 @@
     """Two entries that receive each other's hints, and the organisations `TENANTS`."""
     with deployment(tmp_path_factory.mktemp("organisations"), *ROUTES) as system:
         _write_configuration(system, 2, *TENANTS)
-        system.server("plain", _answer_ok)
-        system.server("engine", stream_events(3))
-        first, second = system.entry("e1"), system.entry("e2")
-        eventually(lambda: first.logged("event=peer_seen peer=e2"), 5.0)
-        eventually(lambda: second.logged("event=peer_seen peer=e1"), 5.0)
+        system.start_server("plain", _answer_ok)
+        system.start_server("engine", stream_events(3))
+        first, second = system.start_entry("e1"), system.start_entry("e2")
+        eventually(lambda: first.log_lines_containing("event=peer_seen peer=e2"), 5.0)
+        eventually(lambda: second.log_lines_containing("event=peer_seen peer=e1"), 5.0)
         eventually(lambda: first.call("GET", "/safe/x", headers=ACME).status == 200, 5.0)
         yield system, first, second
 
@@ -108,8 +108,8 @@
     _, entry, _ = running
     entry.call("GET", "/safe/x", headers=ACME)
     entry.call("GET", "/safe/x", headers={"Authorization": "Bearer wrong-key"})
-    assert not entry.logged("acme-key")
-    assert not entry.logged("wrong-key")
+    assert not entry.log_lines_containing("acme-key")
+    assert not entry.log_lines_containing("wrong-key")
 
 
 def test_invalid_keys_cause_no_store_calls(running: Served) -> None:
@@ -136,7 +136,7 @@
 def test_a_job_belongs_to_its_organisation(running: Served) -> None:
     """Guessing an id must not suffice to read another organisation's results or to end its job."""
     system, first, second = running
-    body = submission("j1-a", "j1-b")
+    body = job_body("j1-a", "j1-b")
     assert first.call("POST", "/batch/x", body=body, headers=ACME, request_id="j1").status == 202
     results = eventually(lambda: _all_results(second, "j1", ACME), 5.0)
     assert [each["state"] for each in results] == ["completed", "completed"]
@@ -162,7 +162,7 @@
     _, first, second = running
     for entry, headers, item in ((first, ACME, "j2-a"), (second, OTHER, "j2-b")):
         answer = entry.call(
-            "POST", "/batch/x", body=submission(item), headers=headers, request_id="j2"
+            "POST", "/batch/x", body=job_body(item), headers=headers, request_id="j2"
         )
         assert answer.status == 202
     for headers, item in ((ACME, "j2-a"), (OTHER, "j2-b")):
@@ -172,7 +172,7 @@
 
 def test_each_key_of_the_organisation_can_read_its_job(running: Served) -> None:
     _, first, second = running
-    body = submission("j3-a")
+    body = job_body("j3-a")
     assert first.call("POST", "/batch/x", body=body, headers=ACME, request_id="j3").status == 202
     other_key = {"Authorization": "Bearer acme-second"}
     assert eventually(lambda: _all_results(second, "j3", other_key), 5.0)
@@ -181,7 +181,7 @@
 def test_headers_of_an_item_do_not_change_its_organisation(running: Served) -> None:
     """A submitter could otherwise have its items run under another organisation's name."""
     system, first, _ = running
-    lot = json.loads(submission("j4-a"))
+    lot = json.loads(job_body("j4-a"))
     lot["items"][0]["headers"] |= {"Tenant": "other", "Authorization": "Bearer other-key"}
     body = json.dumps(lot).encode()
     assert first.call("POST", "/batch/x", body=body, headers=ACME, request_id="j4").status == 202
@@ -239,7 +239,7 @@
     system, first, second = running
     key = {"Authorization": "Bearer just-added"}
     _write_configuration(system, 4, _tenant("acme", "acme-key", "just-added"), *TENANTS[1:])
-    eventually(lambda: first.logged("event=configuration version=4"), 2.0)
+    eventually(lambda: first.log_lines_containing("event=configuration version=4"), 2.0)
     answer = second.call("GET", "/safe/x", headers=key)
     assert answer.status == 200
 
@@ -247,13 +247,13 @@
 def test_jobs_submitted_before_organisations_were_declared_stay_readable(tmp_path: Path) -> None:
     """The callers of these jobs were promised results, and now present a key."""
     with deployment(tmp_path, *ROUTES) as system:
-        system.server("engine", stream_events(2))
-        entry = system.entry("e1")
-        body = submission("old-a")
+        system.start_server("engine", stream_events(2))
+        entry = system.start_entry("e1")
+        body = job_body("old-a")
         assert entry.call("POST", "/batch/x", body=body, request_id="old").status == 202
-        eventually(lambda: finished(entry, "old"), 5.0)
+        eventually(lambda: all_results(entry, "old"), 5.0)
         _write_configuration(system, 2, *TENANTS)
-        eventually(lambda: entry.logged("event=configuration version=2"), 3.0)
+        eventually(lambda: entry.log_lines_containing("event=configuration version=2"), 3.0)
         assert eventually(lambda: _all_results(entry, "old", ACME), 3.0)
         again = entry.call("POST", "/batch/x", body=body, headers=ACME, request_id="old")
         assert again.status == 202
@@ -265,16 +265,16 @@
     """The entry cannot tell who owns a job; it must neither serve the job nor report it missing."""
     with deployment(tmp_path, *ROUTES) as system:
         _write_configuration(system, 2, *TENANTS)
-        system.server("engine", stream_events(2))
-        first = system.entry("e1")
-        body = submission("j-a")
+        system.start_server("engine", stream_events(2))
+        first = system.start_entry("e1")
+        body = job_body("j-a")
         assert first.call("POST", "/batch/x", body=body, headers=ACME, request_id="j").status == 202
         eventually(lambda: _all_results(first, "j", ACME), 5.0)
-        first.signal(signal.SIGKILL)
+        first.send_signal(signal.SIGKILL)
         first.process.wait()
         system.objects.remove("config", "main")
-        entry = system.entry("e2", wait=False)
-        eventually(lambda: entry.logged("event=upstreams_listed"), 10.0)
+        entry = system.start_entry("e2", wait=False)
+        eventually(lambda: entry.log_lines_containing("event=upstreams_listed"), 10.0)
         for name in ("j", qualified_job_id("j", "acme")):
             for headers in ({}, ACME, OTHER):
                 answer = entry.call("GET", f"/api/lots/{name}?after=0", headers=headers)
--- a/tests/direct/test_restarted_upstreams.py
+++ b/tests/direct/test_restarted_upstreams.py
@@ -18,10 +18,10 @@
     Answer,
     Deployment,
     Entry,
+    all_results,
     deployment,
     eventually,
-    finished,
-    submission,
+    job_body,
 )
 
 from carobspool_standins.platform_server import (
@@ -41,7 +41,9 @@
     """A deployment of stand-ins without entries; fails if an entry logs an error."""
     with deployment(tmp_path) as running:
         yield running
-        assert [line for entry in running.entries for line in entry.logged("level=error")] == []
+        assert [
+            line for entry in running.entries for line in entry.log_lines_containing("level=error")
+        ] == []
 
 
 def _answer(request: ServedRequest, connection: ServerConnection) -> None:
@@ -83,13 +85,13 @@
     the same id. Its connections stay open and silent, so that the caller would wait until its time
     limit of three seconds. The caller must receive 502 as soon as the entry knows the new start,
     and the request must not run twice."""
-    server = system.server("plain", lambda request, connection: time.sleep(5.0))
-    entry = system.entry("e1")
+    server = system.start_server("plain", lambda request, connection: time.sleep(5.0))
+    entry = system.start_entry("e1")
     caller = _Caller(entry, "/once/x")
     eventually(lambda: server.seen, 1.0)
     server.cut_off()
     server.behave = _answer
-    system.restart(server, "plain")
+    system.restart_server(server, "plain")
     restarted = time.monotonic()
     answer = caller.answer()
     assert (answer.status, time.monotonic() - restarted < RESTART_KNOWN_S) == (502, True)
@@ -105,8 +107,8 @@
     def behave(request: ServedRequest, connection: ServerConnection) -> None:
         connection.answer(request, 200, request.target.encode())
 
-    server = system.server("plain", behave)
-    entry = system.entry("e1")
+    server = system.start_server("plain", behave)
+    entry = system.start_entry("e1")
     late: list[ServerConnection] = []
 
     def answer_cut(request: ServedRequest, connection: ServerConnection) -> None:
@@ -120,7 +122,7 @@
     eventually(lambda: len(server.seen) == 2, 1.0)
     server.cut_off()
     server.behave = behave
-    system.restart(server, "plain")
+    system.restart_server(server, "plain")
     assert caller.answer().status == 502
     for connection in late:
         connection.send(answer_bytes(server.seen[1].request_id, 200, b"later"))
@@ -136,13 +138,13 @@
     """The only engine loses its network during a resumable stream and restarts under the same id.
     The stream must continue there at its next event as soon as the entry knows the new start,
     although the earlier start has just failed."""
-    server = system.server("engine", stream_events(30, pause_s=0.03))
-    entry = system.entry("e1")
+    server = system.start_server("engine", stream_events(30, pause_s=0.03))
+    entry = system.start_entry("e1")
     first = server.started
     caller = _Caller(entry, "/resume/x")
     time.sleep(0.4)
     server.cut_off()
-    system.restart(server, "engine")
+    system.restart_server(server, "engine")
     answer = caller.answer()
     assert (answer.status, answer.complete) == (200, True)
     assert _numbers(answer) == list(range(1, 31))
@@ -154,17 +156,19 @@
     """The only server crashes under load and restarts within 0.1 s, long before its registration
     lapses. An entry avoids a failed server for a second or two. The new start must be used as soon
     as the entries know it, and the requests that the crash cut must end as unknown."""
-    server = system.server("plain", lambda request, connection: time.sleep(5.0))
-    entries = [system.entry("e1"), system.entry("e2")]
+    server = system.start_server("plain", lambda request, connection: time.sleep(5.0))
+    entries = [system.start_entry("e1"), system.start_entry("e2")]
     callers = [_Caller(entry, "/once/x") for entry in entries for _ in range(4)]
     eventually(lambda: len(server.seen) == len(callers), 2.0)
     server.crash()
     server.behave = _answer
     time.sleep(0.1)
-    system.restart(server, "plain")
+    system.restart_server(server, "plain")
     assert {caller.answer().status for caller in callers} == {502}
     for entry in entries:
-        eventually(lambda e=entry: e.logged("event=upstream_restarted"), RESTART_KNOWN_S)
+        eventually(
+            lambda e=entry: e.log_lines_containing("event=upstream_restarted"), RESTART_KNOWN_S
+        )
         for _ in range(4):
             assert entry.call("POST", "/once/y", body=b"b").status == 200
     assert len(server.seen) == len(callers) + 8
@@ -174,15 +178,15 @@
     """The server restarts and accepts a stream before the entry reads its new registration. The
     entry then attributes the stream to the earlier start. Since the stream still receives events,
     it must not be ended, and its caller must receive all of it."""
-    server = system.server("engine", stream_events(40, pause_s=0.03))
-    entry = system.entry("e1")
+    server = system.start_server("engine", stream_events(40, pause_s=0.03))
+    entry = system.start_entry("e1")
     server.crash()
     server.start()
     caller = _Caller(entry, "/stream/x")
     time.sleep(0.4)
     system.objects.put("servers", server.instance, server.registration("engine"))
     answer = caller.answer()
-    assert entry.logged("event=upstream_restarted")
+    assert entry.log_lines_containing("event=upstream_restarted")
     assert (answer.complete, _numbers(answer)) == (True, list(range(1, 41)))
 
 
@@ -192,22 +196,22 @@
     restarts. With ``deaf``, the store's watches deliver none of these changes, and the read every
     two seconds finds the new start. Every item must continue after its last event and end once with
     its whole text."""
-    server = system.server("engine", stream_events(40, pause_s=0.05))
-    entries = [system.entry("e1"), system.entry("e2")]
+    server = system.start_server("engine", stream_events(40, pause_s=0.05))
+    entries = [system.start_entry("e1"), system.start_entry("e2")]
     names = [f"item-{number}" for number in range(5)]
-    answer = entries[0].call("POST", "/batch/1", body=submission(*names), request_id="job-1")
+    answer = entries[0].call("POST", "/batch/1", body=job_body(*names), request_id="job-1")
     assert answer.status == 202
     eventually(lambda: len(server.seen) >= 5, 3.0)
     time.sleep(0.5)
     system.objects.faults.deaf = deaf
     server.cut_off()
-    system.restart(server, "engine")
+    system.restart_server(server, "engine")
     second = server.started
     eventually(lambda: len(_seen_by(server, second)) >= 5, 4.5 if deaf else 2.0)
     time.sleep(0.3)
     server.crash()
-    system.restart(server, "engine")
-    results = eventually(lambda: finished(entries[1], "job-1"), 15.0)
+    system.restart_server(server, "engine")
+    results = eventually(lambda: all_results(entries[1], "job-1"), 15.0)
     texts = {json.dumps(each["text"]) for each in results}
     assert {each["state"] for each in results} == {"completed"}
     assert sorted(each["id"] for each in results) == sorted(names)
@@ -216,7 +220,7 @@
     resumed = [each for each in server.seen if each.started != server.seen[0].started]
     assert all("last-event-id" in each.headers for each in resumed)
     for entry in entries:
-        eventually(lambda e=entry: e.logged(f"started={server.started}"), 4.5)
+        eventually(lambda e=entry: e.log_lines_containing(f"started={server.started}"), 4.5)
 
 
 @contextmanager
@@ -247,16 +251,16 @@
     """Another entry reports the only server as overloaded: either with its earlier start, or, like
     entries of the previous version, without a start. Callers must be refused before the server
     restarts and served after it. A report with the new start must cause refusals again."""
-    server = system.server("plain", _answer)
-    entry = system.entry("e1")
+    server = system.start_server("plain", _answer)
+    entry = system.start_entry("e1")
     loads = {"l": {server.instance: [400, 0]}}
     earlier = loads | {"b": {server.instance: server.started}}
     for hint in (loads, earlier):
         with _peer_sending(entry, hint):
             assert entry.call("POST", "/once/x", body=b"b").status == 503
     server.crash()
-    system.restart(server, "plain")
-    eventually(lambda: entry.logged("event=upstream_restarted"), RESTART_KNOWN_S)
+    system.restart_server(server, "plain")
+    eventually(lambda: entry.log_lines_containing("event=upstream_restarted"), RESTART_KNOWN_S)
     for hint in (loads, earlier):
         with _peer_sending(entry, hint):
             assert entry.call("POST", "/once/x", body=b"b").status == 200
@@ -267,12 +271,12 @@
 def test_a_registration_that_gains_a_start_counts_as_a_restart(system: Deployment) -> None:
     """The first registration comes from a writer that sends no start. The server loses its network;
     when a registration with a start arrives, the calls to the earlier one must end at once."""
-    server = system.server("plain", lambda request, connection: time.sleep(5.0), started=0)
-    entry = system.entry("e1")
+    server = system.start_server("plain", lambda request, connection: time.sleep(5.0), started=0)
+    entry = system.start_entry("e1")
     caller = _Caller(entry, "/once/x")
     eventually(lambda: server.seen, 1.0)
     server.cut_off()
     server.behave = _answer
-    system.restart(server, "plain")
+    system.restart_server(server, "plain")
     assert (caller.answer().status, caller.took_s < 2.0) == (502, True)
     assert entry.call("POST", "/once/y", body=b"b").status == 200
--- a/tests/direct/test_rolling_restart.py
+++ b/tests/direct/test_rolling_restart.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 
 import pytest
-from direct_harness import Deployment, deployment, eventually, finished, submission
+from direct_harness import Deployment, all_results, deployment, eventually, job_body
 
 from carobspool_standins.platform_server import (
     ServedRequest,
@@ -34,13 +34,13 @@
 def test_the_last_entry_keeps_its_jobs_while_no_other_can_adopt_them(system: Deployment) -> None:
     """The only entry is told to stop half a second into items of 1.5 s. It continues for at least
     two seconds, and the caller must be able to read the results from it before it exits."""
-    system.server("engine", stream_events(15, pause_s=0.1))
-    entry = system.entry("e1")
+    system.start_server("engine", stream_events(15, pause_s=0.1))
+    entry = system.start_entry("e1")
     ids = [f"i{number}" for number in range(3)]
-    assert entry.call("POST", "/batch/j", body=submission(*ids), request_id="j").status == 202
+    assert entry.call("POST", "/batch/j", body=job_body(*ids), request_id="j").status == 202
     time.sleep(0.5)
-    entry.signal(signal.SIGTERM)
-    results = eventually(lambda: finished(entry, "j"), 2.4)
+    entry.send_signal(signal.SIGTERM)
+    results = eventually(lambda: all_results(entry, "j"), 2.4)
     assert {each["state"] for each in results} == {"completed"}
     assert entry.process.wait(timeout=6) == 0
 
@@ -65,15 +65,15 @@
         finally:
             ended.append(time.monotonic())
 
-    system.server("engine", record_run)
-    first, second = system.entry("e1"), system.entry("e2")
-    assert first.call("POST", "/batch/j", body=submission("i"), request_id="j").status == 202
+    system.start_server("engine", record_run)
+    first, second = system.start_entry("e1"), system.start_entry("e2")
+    assert first.call("POST", "/batch/j", body=job_body("i"), request_id="j").status == 202
     time.sleep(1.0)
-    first.signal(signal.SIGTERM)
+    first.send_signal(signal.SIGTERM)
     time.sleep(0.6)
-    second.signal(signal.SIGTERM)
-    third = system.entry("e3", first_start=first_start)
-    results = eventually(lambda: finished(third, "j"), 12)
+    second.send_signal(signal.SIGTERM)
+    third = system.start_entry("e3", first_start=first_start)
+    results = eventually(lambda: all_results(third, "j"), 12)
     assert [each["text"].count("\n") for each in results] == [49]
     pauses = [begin - end for begin, end in zip(started[1:], ended, strict=False)]
     assert max(pauses) < 1.0
--- a/tests/direct/test_shared_watch.py
+++ b/tests/direct/test_shared_watch.py
@@ -30,9 +30,9 @@
 def system(tmp_path: Path) -> Iterator[Deployment]:
     """A deployment of nine entries that have heard each other."""
     with deployment(tmp_path) as running:
-        running.server("plain", _answer)
+        running.start_server("plain", _answer)
         for number in range(ENTRIES):
-            running.entry(f"e{number}", wait=False)
+            running.start_entry(f"e{number}", wait=False)
         for entry in running.entries:
             eventually(entry.is_ready, 8.0)
         time.sleep(4.0)
@@ -55,25 +55,25 @@
     before = system.objects.calls.get("watch", 0)
     for version in range(2, 8):
         prefix = f"/new-{version}/"
-        system.configure(version, *STANDARD_ROUTES, route(prefix, "safe", "plain"))
-        system.server("plain", _answer)
+        system.write_configuration(version, *STANDARD_ROUTES, route(prefix, "safe", "plain"))
+        system.start_server("plain", _answer)
         until = time.monotonic() + PROPAGATION_LIMIT_S
         for entry in system.entries:
             eventually(lambda e=entry, p=prefix: _serves_new_route(e, p), PROPAGATION_LIMIT_S)
         assert time.monotonic() < until
     assert system.objects.calls["watch"] - before <= 6 * 2 * WATCHER_COUNT + WATCHER_COUNT
-    assert any(each.logged("event=view_taken") for each in system.entries)
+    assert any(each.log_lines_containing("event=view_taken") for each in system.entries)
 
 
 def test_a_draining_server_gets_no_new_requests_while_most_watchers_are_frozen(
     system: Deployment,
 ) -> None:
     """Three of the five entries that follow the store are stopped. The other two must suffice."""
-    draining = system.server("plain", _answer)
+    draining = system.start_server("plain", _answer)
     time.sleep(PROPAGATION_LIMIT_S)
     frozen = _watchers(system)[:3]
     for entry in frozen:
-        entry.signal(signal.SIGSTOP)
+        entry.send_signal(signal.SIGSTOP)
     try:
         system.objects.put(
             "servers", draining.instance, draining.registration("plain", state="draining")
@@ -88,7 +88,7 @@
         assert len(draining.seen) == before
     finally:
         for entry in frozen:
-            entry.signal(signal.SIGCONT)
+            entry.send_signal(signal.SIGCONT)
 
 
 def test_others_follow_the_store_when_all_watchers_are_gone(system: Deployment) -> None:
@@ -96,8 +96,8 @@
     take over the duty as soon as the five are known to be dead."""
     killed = _watchers(system)
     for entry in killed:
-        entry.signal(signal.SIGKILL)
-    system.configure(2, *STANDARD_ROUTES, route("/new/", "safe", "plain"))
+        entry.send_signal(signal.SIGKILL)
+    system.write_configuration(2, *STANDARD_ROUTES, route("/new/", "safe", "plain"))
     for entry in system.entries:
         if entry not in killed:
             eventually(lambda e=entry: _serves_new_route(e, "/new/"), 4.0)
@@ -105,7 +105,9 @@
 
 def test_a_new_entry_and_all_others_hear_each_other(system: Deployment) -> None:
     """Entries that do not watch the list of entries learn of a new entry from its announcement."""
-    late = system.entry("late")
+    late = system.start_entry("late")
     for entry in system.entries[:-1]:
-        eventually(lambda e=entry: e.logged("event=peer_seen peer=late#"), 3.0)
-        eventually(lambda e=entry: late.logged(f"event=peer_seen peer={e.name}#"), 3.0)
+        eventually(lambda e=entry: e.log_lines_containing("event=peer_seen peer=late#"), 3.0)
+        eventually(
+            lambda e=entry: late.log_lines_containing(f"event=peer_seen peer={e.name}#"), 3.0
+        )
--- a/tests/direct/test_signals.py
+++ b/tests/direct/test_signals.py
@@ -58,11 +58,11 @@
     """SIGTERM must lead to an exit in time. SIGHUP must lead to a check of the settings, and the
     entry must still exit on a later SIGTERM."""
     program = ("-c", SIGNAL_WHILE_A_LOCK_IS_HELD.format(number=int(number)))
-    entry = system.entry("e1", program=program)
+    entry = system.start_entry("e1", program=program)
     time.sleep(3.5)
     # If the traced code never held the lock, no signal has been sent yet.
-    entry.signal(number)
+    entry.send_signal(number)
     if number is signal.SIGHUP:
-        eventually(lambda: entry.logged("event=reload"), 3)
-        entry.signal(signal.SIGTERM)
+        eventually(lambda: entry.log_lines_containing("event=reload"), 3)
+        entry.send_signal(signal.SIGTERM)
     assert entry.process.wait(timeout=EXIT_S) == 0
--- a/tests/direct/test_still_and_slow_servers.py
+++ b/tests/direct/test_still_and_slow_servers.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 import pytest
-from direct_harness import Deployment, deployment, eventually, finished, submission
+from direct_harness import Deployment, all_results, deployment, eventually, job_body
 
 from carobspool_standins.platform_server import ServedRequest, ServerConnection, stream_events
 
@@ -47,18 +47,17 @@
     """A server freezes for five seconds during ten items, with its connections open. Every item
     must complete, and no event of the frozen runs may appear twice."""
     freezable = _FreezableStream()
-    system.server("engine", freezable)
-    system.server("engine", stream_events(EVENTS, pause_s=PAUSE_S))
-    entries = [system.entry("e1"), system.entry("e2")]
+    system.start_server("engine", freezable)
+    system.start_server("engine", stream_events(EVENTS, pause_s=PAUSE_S))
+    entries = [system.start_entry("e1"), system.start_entry("e2")]
     names = [f"item-{number}" for number in range(10)]
     assert (
-        entries[0].call("POST", "/batch/j", body=submission(*names), request_id="job-1").status
-        == 202
+        entries[0].call("POST", "/batch/j", body=job_body(*names), request_id="job-1").status == 202
     )
     time.sleep(0.4)
     freezable.running.clear()
     threading.Timer(5.0, freezable.running.set).start()
-    results = eventually(lambda: finished(entries[1], "job-1"), 15.0)
+    results = eventually(lambda: all_results(entries[1], "job-1"), 15.0)
     assert sorted(each["id"] for each in results) == sorted(names)
     assert {each["state"] for each in results} == {"completed"}
     assert len({each["text"] for each in results}) == 1
@@ -75,10 +74,10 @@
         stream_events(6, pause_s=PAUSE_S)(request, connection)
 
     for _ in range(2):
-        system.server("engine", slow)
+        system.start_server("engine", slow)
     for _ in range(4):
-        system.server("engine", stream_events(6, pause_s=PAUSE_S))
-    entry = system.entry("e1")
+        system.start_server("engine", stream_events(6, pause_s=PAUSE_S))
+    entry = system.start_entry("e1")
 
     def first_event_s(_: int) -> float:
         started = time.monotonic()
@@ -112,10 +111,10 @@
         time.sleep(0.05)
         connection.reset()
 
-    system.server("plain", runs_and_resets)
-    broken = system.server("engine", breaks)
-    system.server("engine", stream_events(6))
-    entry = system.entry("e1")
+    system.start_server("plain", runs_and_resets)
+    broken = system.start_server("engine", breaks)
+    system.start_server("engine", stream_events(6))
+    entry = system.start_entry("e1")
     for number in range(5):
         answer = entry.call("POST", "/once/x", body=b"b", request_id=f"once-{number}")
         assert answer.status == 502
@@ -135,10 +134,10 @@
     """One of three servers accepts requests and never answers. Every request must be answered by
     another server within the route's time limit, and later requests must avoid the server that
     hangs."""
-    hangs = system.server("plain", lambda request, connection: time.sleep(10.0))
+    hangs = system.start_server("plain", lambda request, connection: time.sleep(10.0))
     for _ in range(2):
-        system.server("plain", lambda request, connection: connection.answer(request))
-    entry = system.entry("e1")
+        system.start_server("plain", lambda request, connection: connection.answer(request))
+    entry = system.start_entry("e1")
     slow = 0
     for _ in range(30):
         started = time.monotonic()
--- a/tests/direct_harness.py
+++ b/tests/direct_harness.py
@@ -137,11 +137,11 @@
         finally:
             connection.close()
 
-    def signal(self, number: signal.Signals) -> None:
+    def send_signal(self, number: signal.Signals) -> None:
         """Send a signal to the process."""
         os.kill(self.process.pid, number)
 
-    def logged(self, text: str) -> list[str]:
+    def log_lines_containing(self, text: str) -> list[str]:
         """Return the log lines that contain ``text``."""
         return [line for line in self.log.read_text().splitlines() if text in line]
 
@@ -158,7 +158,7 @@
     entries: list[Entry] = field(default_factory=list)
     servers: list[PlatformServer] = field(default_factory=list)
 
-    def server(
+    def start_server(
         self, service: str, behave: Behaviour, *, started: int | None = None
     ) -> PlatformServer:
         """Start a server and register it in the store."""
@@ -168,17 +168,17 @@
         self.objects.put("servers", instance, server.registration(service))
         return server
 
-    def restart(self, server: PlatformServer, service: str) -> None:
+    def restart_server(self, server: PlatformServer, service: str) -> None:
         """Restart a server under its id, after a crash or a loss of its link, and register it."""
         server.start()
         self.objects.put("servers", server.instance, server.registration(service))
 
-    def second_address(self) -> tuple[str, PlatformFaults]:
+    def serve_second_address(self) -> tuple[str, PlatformFaults]:
         """Serve the same store at a second address, with separate fault settings."""
         faults = PlatformFaults()
         return self.stack.enter_context(serve_platform_store(self.objects, faults)), faults
 
-    def entry(
+    def start_entry(
         self,
         name: str,
         *,
@@ -246,7 +246,7 @@
         log = self.folder / f"{stem}.log"
         return self.stack.enter_context(_run_process(path, log, output, program)), log
 
-    def configure(self, version: int, *routes: dict[str, Any]) -> None:
+    def write_configuration(self, version: int, *routes: dict[str, Any]) -> None:
         """Write a configuration to the store as an operator does."""
         self.objects.put("config", "main", configuration(version, *routes))
 
@@ -273,7 +273,7 @@
         time.sleep(STEP_S)
 
 
-def submission(*item_ids: str, path: str = "/batch/1", tokens: int = 10) -> bytes:
+def job_body(*item_ids: str, path: str = "/batch/1", tokens: int = 10) -> bytes:
     """Return the body of a request that submits a job with these items."""
     items = [
         {
@@ -288,7 +288,7 @@
     return json.dumps({"items": items}).encode()
 
 
-def read_results(
+def fetch_results_page(
     entry: Entry, job_id: str, after: int = 0, *, headers: dict[str, str] | None = None
 ) -> dict[str, Any] | int:
     """Return a page of a job's results, or the HTTP status of a refusal."""
@@ -297,11 +297,11 @@
     return json.loads(answer.body) if answer.status == 200 else answer.status
 
 
-def finished(
+def all_results(
     entry: Entry, job_id: str, *, headers: dict[str, str] | None = None
 ) -> list[dict[str, Any]] | None:
     """Return all results of a job, or ``None`` until each item has one."""
-    page = read_results(entry, job_id, headers=headers)
+    page = fetch_results_page(entry, job_id, headers=headers)
     if isinstance(page, int) or len(page["results"]) < page["total"]:
         return None
     return list(page["results"])
--- a/tests/fleet_load.py
+++ b/tests/fleet_load.py
@@ -392,6 +392,6 @@
         self.at(self.clock.at + HINT_DELAY, arrive)
 
 
-def play_fleet(plan: FleetPlan, seed: int = 1) -> FleetReport:
+def simulate_fleet(plan: FleetPlan, seed: int = 1) -> FleetReport:
     """Simulate a plan; the same seed gives the same arrivals."""
     return _Fleet(plan, seed).play()
--- a/tests/history.py
+++ b/tests/history.py
@@ -33,10 +33,10 @@
         outcome: Response header that says whether the request ran; empty without a response.
         code: Error code of a failure; empty otherwise.
         body: Response body.
-        clean: Whether the response was successful and complete.
+        is_complete: Whether the response was successful and complete.
         sent_at: When the request was sent, in seconds on the monotonic clock.
-        first: Seconds from sending to the first bytes of the response, or ``None``.
-        took: Seconds from sending to the end of the response.
+        first_data_after_s: Seconds from sending to the first bytes of the response, or ``None``.
+        duration_s: Seconds from sending to the end of the response.
         retry_after: Response header ``Retry-After``; empty when absent.
         idempotency_key: Idempotency key of the request; empty when absent.
     """
@@ -47,10 +47,10 @@
     outcome: str
     code: str
     body: bytes
-    clean: bool
+    is_complete: bool
     sent_at: float
-    first: float | None
-    took: float
+    first_data_after_s: float | None
+    duration_s: float
     retry_after: str = ""
     idempotency_key: str = ""
 
@@ -131,10 +131,10 @@
             outcome=response_headers.get("carobspool-outcome", ""),
             code=_error_code(status, content),
             body=content,
-            clean=is_complete and status == 200 and (not stream or ended_clean(content)),
+            is_complete=is_complete and status == 200 and (not stream or ended_clean(content)),
             sent_at=sent_at,
-            first=first[0] if first else None,
-            took=time.monotonic() - sent_at,
+            first_data_after_s=first[0] if first else None,
+            duration_s=time.monotonic() - sent_at,
             retry_after=response_headers.get("retry-after", ""),
             idempotency_key=(headers or {}).get("Idempotency-Key", ""),
         )
@@ -143,7 +143,7 @@
         return call
 
 
-def untrue_not_run(calls: Iterable[Call], runs: Iterable[Mapping[str, Any]]) -> list[str]:
+def false_not_run_answers(calls: Iterable[Call], runs: Iterable[Mapping[str, Any]]) -> list[str]:
     """Return the requests that ran although every call of them was answered "not run".
 
     A request may be sent several times. If any call of it was answered otherwise, that call may
@@ -160,7 +160,7 @@
     ]
 
 
-def untyped(calls: Iterable[Call]) -> list[str]:
+def failures_without_outcome(calls: Iterable[Call]) -> list[str]:
     """Return the failures without an outcome, and the refusals without ``Retry-After``."""
     found = []
     for call in calls:
@@ -173,7 +173,9 @@
     return found
 
 
-def run_twice(runs: Iterable[Mapping[str, Any]], digests: Iterable[str]) -> list[str]:
+def requests_run_more_than_once(
+    runs: Iterable[Mapping[str, Any]], digests: Iterable[str]
+) -> list[str]:
     """Return the requests among ``digests`` that upstreams ran more than once."""
     wanted = set(digests)
     counts = Counter(run["digest"] for run in runs if run["digest"] in wanted)
@@ -189,14 +191,14 @@
     """
     found = []
     for call in calls:
-        if not call.clean:
+        if not call.is_complete:
             continue
         if call.text != expected[call.digest]:
             found.append(f"{call.digest[:8]} ended cleanly with a wrong text")
     return found
 
 
-def not_exactly_once(
+def items_without_one_result(
     items: Iterable[Mapping[str, Any]], results: Iterable[Mapping[str, Any]]
 ) -> list[str]:
     """Return the items that do not have exactly one result."""
--- a/tests/ideal_schedule.py
+++ b/tests/ideal_schedule.py
@@ -79,7 +79,7 @@
         self.items = [item for item in self.items if item not in done]
 
 
-def share_in_time(plan: FleetPlan, seed: int) -> float:
+def ideal_fraction_in_time(plan: FleetPlan, seed: int) -> float:
     """Return the fraction of the items of a random load that this schedule finishes in time."""
     draw = random.Random(seed)
 
@@ -103,7 +103,7 @@
     return pool.in_time / (len(jobs) * ITEMS_PER_JOB)
 
 
-def most_in_time(plan: FleetPlan) -> float:
+def max_fraction_in_time(plan: FleetPlan) -> float:
     """Return an upper bound, over all schedules, of the fraction of items in time.
 
     All slots are assumed busy whenever it helps. Durations count with their means, and preemption
--- a/tests/measure_restarts.py
+++ b/tests/measure_restarts.py
@@ -91,7 +91,7 @@
     else:
         server.cut_off()
     time.sleep(DOWN_S)
-    system.restart(server, service)
+    system.restart_server(server, service)
     restarted = time.monotonic()
     while time.monotonic() - restarted < MAX_UNUSED_S:
         if any(each.started == server.started for each in list(server.seen)):
@@ -103,12 +103,12 @@
 def main(restarts: int) -> None:
     """Restart servers under load, and print the measurements."""
     with tempfile.TemporaryDirectory() as folder, deployment(Path(folder)) as system:
-        plain = [system.server("plain", _answer_after_run) for _ in range(2)]
+        plain = [system.start_server("plain", _answer_after_run) for _ in range(2)]
         stream = stream_events(STREAM_EVENTS, pause_s=EVENT_PAUSE_S)
-        engines = [system.server("engine", stream) for _ in range(2)]
+        engines = [system.start_server("engine", stream) for _ in range(2)]
         load = _Load()
         for name in ("e1", "e2"):
-            entry = system.entry(name)
+            entry = system.start_entry(name)
             load.start(entry, "/once/x", 0.1)
             load.start(entry, "/resume/x", 0.4)
         time.sleep(2.0)
--- a/tests/promises/test_at_most_once.py
+++ b/tests/promises/test_at_most_once.py
@@ -11,7 +11,13 @@
 
 import pytest
 from harness import SERVICE, Plan, Site, batch_items, chat_body, in_threads, running_site
-from history import History, not_exactly_once, run_twice, untrue_not_run, untyped
+from history import (
+    History,
+    failures_without_outcome,
+    false_not_run_answers,
+    items_without_one_result,
+    requests_run_more_than_once,
+)
 
 pytestmark = pytest.mark.promise("non-idempotent runs at most once")
 KEYS = 8
@@ -34,9 +40,9 @@
 
 def _check(site: Site, history: History) -> None:
     digests = {call.digest for call in history.calls}
-    assert run_twice(site.runs(), digests) == []
-    assert untrue_not_run(history.calls, site.runs()) == []
-    assert untyped(history.calls) == []
+    assert requests_run_more_than_once(site.runs(), digests) == []
+    assert false_not_run_answers(history.calls, site.runs()) == []
+    assert failures_without_outcome(history.calls) == []
 
 
 def test_resent_to_every_entry_at_once(tmp_path: Path) -> None:
@@ -150,7 +156,7 @@
             assert call.status == 503
             assert call.outcome == "not_run"
             assert call.retry_after
-            assert call.took < 2.0
+            assert call.duration_s < 2.0
         after = [
             history.chat(site, f"reply {number}", headers=_keyed(number)) for number in range(KEYS)
         ]
@@ -178,9 +184,9 @@
             ]
         )
         runs = site.platform("plain-1").call("GET", "/record").json["runs"]
-        assert run_twice(runs, {call.digest for call in history.calls}) == []
+        assert requests_run_more_than_once(runs, {call.digest for call in history.calls}) == []
         assert len(runs) == 5
-        assert untyped(history.calls) == []
+        assert failures_without_outcome(history.calls) == []
 
 
 @pytest.mark.parametrize("deed", ["kill", "freeze"])
@@ -210,7 +216,7 @@
             site.cluster.thaw("entry-2")
         done = site.wait_ended(batch["id"], seconds=90.0)
         results = site.results(done)
-        assert not_exactly_once(items, results) == []
+        assert items_without_one_result(items, results) == []
         texts = {item["body"]["messages"][0]["content"] for item in items[::2]}
         assert _run_more_than_once(site, texts) == []
 
@@ -227,4 +233,4 @@
         digests[hashlib.sha256(json.dumps(body, ensure_ascii=False).encode()).hexdigest()] = text
     runs = [run for run in site.runs() if not run["resumed"]]
     assert any(run["digest"] in digests for run in runs)
-    return run_twice(runs, digests)
+    return requests_run_more_than_once(runs, digests)
--- a/tests/promises/test_crashing_request.py
+++ b/tests/promises/test_crashing_request.py
@@ -54,7 +54,7 @@
                 call = innocent.chat(
                     site, f"innocent {number}", entry=site.entries[number % 3], tokens=60
                 )
-                if call.clean:
+                if call.is_complete:
                     return
                 time.sleep(0.5)
 
@@ -68,9 +68,9 @@
         for entry in site.entries:
             last = history.chat(site, MARKER, entry=entry)
             assert last.status == 422, (last.status, last.code)
-            assert last.took < 0.5
+            assert last.duration_s < 0.5
             assert last.outcome == "not_run"
-        finished = {call.digest for call in innocent.calls if call.clean}
+        finished = {call.digest for call in innocent.calls if call.is_complete}
         assert len(finished) == 9
         assert _crashes(site) <= 2
         records = site.operator().call("GET", "/operator/audit").json["records"]
--- a/tests/promises/test_exactly_once.py
+++ b/tests/promises/test_exactly_once.py
@@ -10,7 +10,7 @@
 
 import pytest
 from harness import Plan, Site, batch_items, chat_body, in_threads, running_site
-from history import not_exactly_once
+from history import items_without_one_result
 
 pytestmark = pytest.mark.promise("accepted items complete exactly once")
 ITEMS = 120
@@ -27,7 +27,7 @@
     batch = site.wait_ended(batch_id, entry=entry, seconds=90.0)
     assert batch["status"] == "completed", batch
     assert batch["request_counts"]["total"] == len(items)
-    assert not_exactly_once(items, site.results(batch, entry=entry)) == []
+    assert items_without_one_result(items, site.results(batch, entry=entry)) == []
 
 
 def test_the_accepting_entry_dies_right_after_its_answer(tmp_path: Path) -> None:
@@ -154,7 +154,7 @@
             return
         done = site.wait_ended(batch.json["id"])
         results = site.results(done)
-        assert not_exactly_once(items, results) == []
+        assert items_without_one_result(items, results) == []
         bad = [each for each in results if each["custom_id"] == "item-7"]
         assert bad[0]["error"] is not None or bad[0]["response"]["status_code"] >= 400
 
--- a/tests/promises/test_head_of_line.py
+++ b/tests/promises/test_head_of_line.py
@@ -8,7 +8,7 @@
 
 import pytest
 from harness import Plan, Site, batch_items, in_threads, running_site
-from history import History, not_exactly_once
+from history import History, items_without_one_result
 
 pytestmark = pytest.mark.promise("no head-of-line blocking")
 SLOTS = 16
@@ -27,9 +27,9 @@
     firsts = []
     for number in range(TRIES):
         call = history.chat(site, f"{name} {number}", stream=True, tokens=3)
-        assert call.clean, call
-        assert call.first is not None
-        firsts.append(call.first)
+        assert call.is_complete, call
+        assert call.first_data_after_s is not None
+        firsts.append(call.first_data_after_s)
         time.sleep(pause)
     return firsts
 
@@ -62,7 +62,7 @@
         assert full <= ALLOWED_RATIO * idle + DECODE_STEP + SCHEDULING_NOISE
         batch = site.wait_ended(batch_id, seconds=90.0)
         assert batch["status"] == "completed"
-        assert not_exactly_once(lines, site.results(batch)) == []
+        assert items_without_one_result(lines, site.results(batch)) == []
 
 
 def test_a_burst_of_three_times_the_slots(tmp_path: Path) -> None:
@@ -76,7 +76,7 @@
             bound = ALLOWED_RATIO * _quantile(alone, share) + DECODE_STEP + SCHEDULING_NOISE
             assert _quantile(beside, share) <= bound
         batch = site.wait_ended(batch_id, seconds=90.0)
-        assert not_exactly_once(lines, site.results(batch)) == []
+        assert items_without_one_result(lines, site.results(batch)) == []
 
 
 def _burst(site: Site, name: str) -> list[float]:
@@ -89,7 +89,11 @@
             for number in range(3 * SLOTS)
         ]
     )
-    return [call.first for call in history.calls if call.clean and call.first is not None]
+    return [
+        call.first_data_after_s
+        for call in history.calls
+        if call.is_complete and call.first_data_after_s is not None
+    ]
 
 
 def _quantile(values: list[float], share: float) -> float:
--- a/tests/promises/test_leaving.py
+++ b/tests/promises/test_leaving.py
@@ -8,7 +8,7 @@
 
 import pytest
 from harness import Plan, Site, running_site
-from history import History, untrue_not_run
+from history import History, false_not_run_answers
 
 pytestmark = pytest.mark.promise("a leaving upstream gets nothing new")
 GRACE_MS = 3_000.0
@@ -82,6 +82,6 @@
             site.cluster.thaw("sidecar-1")
             time.sleep(2.0)
         assert _started_between(site, "engine-1", left_at + GRACE_MS, _now()) == []
-        assert untrue_not_run(history.calls, site.runs()) == []
+        assert false_not_run_answers(history.calls, site.runs()) == []
         served = [call for call in history.calls if call.status == 200]
         assert len(served) > len(history.calls) * 0.9
--- a/tests/promises/test_not_run.py
+++ b/tests/promises/test_not_run.py
@@ -13,7 +13,7 @@
 
 import pytest
 from harness import SERVICE, Plan, Site, in_threads, running_site
-from history import History, untrue_not_run, untyped
+from history import History, failures_without_outcome, false_not_run_answers
 
 pytestmark = pytest.mark.promise("not run is true")
 REQUESTS = 24
@@ -68,8 +68,8 @@
             site.cluster.faults(engine)
         time.sleep(0.5)
         assert len(history.calls) == 4 * REQUESTS
-        assert untrue_not_run(history.calls, site.runs()) == []
-        assert untyped(history.calls) == []
+        assert false_not_run_answers(history.calls, site.runs()) == []
+        assert failures_without_outcome(history.calls) == []
 
 
 @pytest.mark.parametrize("deed", ["kill", "freeze"])
@@ -96,9 +96,9 @@
 
         in_threads([*calls, strike])
         time.sleep(1.0)
-        assert untrue_not_run(history.calls, site.runs()) == []
-        assert untyped(history.calls) == []
-        assert any(call.clean for call in history.calls)
+        assert false_not_run_answers(history.calls, site.runs()) == []
+        assert failures_without_outcome(history.calls) == []
+        assert any(call.is_complete for call in history.calls)
 
 
 @pytest.mark.parametrize(
@@ -134,6 +134,6 @@
         site.cluster.faults("plain-1")
         runs = site.platform("plain-1").call("GET", "/record").json["runs"]
         assert len(history.calls) == 8
-        assert untrue_not_run(history.calls, runs) == []
-        assert untyped(history.calls) == []
+        assert false_not_run_answers(history.calls, runs) == []
+        assert failures_without_outcome(history.calls) == []
         assert all(call.status != 200 for call in history.calls)
--- a/tests/promises/test_shutdown.py
+++ b/tests/promises/test_shutdown.py
@@ -8,7 +8,7 @@
 
 import pytest
 from harness import Plan, Site, batch_items, in_threads, running_site
-from history import History, not_exactly_once
+from history import History, items_without_one_result
 
 pytestmark = pytest.mark.promise("graceful shutdown cuts nothing")
 PLAN = Plan(engine={"step_base_ms": 20.0, "slots": 16}, entry={"lease_ttl_ms": 10_000})
@@ -48,7 +48,9 @@
             stop.set()
 
         in_threads([*streams, newcomers, ask_to_end])
-        assert all(call.clean for call in history.calls), [call.code for call in history.calls]
+        assert all(call.is_complete for call in history.calls), [
+            call.code for call in history.calls
+        ]
         assert len(history.calls) == STREAMS
         for call in late.calls:
             assert call.status in (0, 200) or call.outcome == "not_run", call
@@ -72,7 +74,7 @@
         assert site.cluster.stop("entry-2") == 0
         assert time.monotonic() - asked < 8.0
         done = site.wait_ended(batch["id"], seconds=90.0)
-        assert not_exactly_once(items, site.results(done)) == []
+        assert items_without_one_result(items, site.results(done)) == []
         assert _longest_silence_ms(site) < 4_000.0
 
 
@@ -99,5 +101,5 @@
                 hurry,
             ]
         )
-        assert not history.calls[0].clean
+        assert not history.calls[0].is_complete
         assert "event=shutdown_cut" in site.cluster.log("entry-1")
--- a/tests/promises/test_whole_answer.py
+++ b/tests/promises/test_whole_answer.py
@@ -79,7 +79,9 @@
         assert proxy.tampered > STREAMS
         assert wrong_answers(history.calls, expected) == []
         broken = [
-            (call.status, call.code, call.body[-200:]) for call in history.calls if not call.clean
+            (call.status, call.code, call.body[-200:])
+            for call in history.calls
+            if not call.is_complete
         ]
         assert broken == []
 
@@ -108,7 +110,7 @@
         in_threads([*_streams(site, history, texts), cut])
         proxy.close()
         assert wrong_answers(history.calls, expected) == []
-        assert sum(call.clean for call in history.calls) == len(texts)
+        assert sum(call.is_complete for call in history.calls) == len(texts)
 
 
 def test_a_slow_reader_harms_nobody(tmp_path: Path) -> None:
@@ -128,8 +130,8 @@
 
         in_threads([read_slowly, *_streams(site, history, texts[1:])])
         assert wrong_answers(history.calls, expected) == []
-        assert all(call.clean for call in history.calls)
-        assert max(call.took for call in history.calls) < 5.0
+        assert all(call.is_complete for call in history.calls)
+        assert max(call.duration_s for call in history.calls) < 5.0
         body = json.dumps(chat_body(texts[0], stream=True, tokens=TOKENS)).encode()
         assert stream_text(b"".join(slow)) == expected[hashlib.sha256(body).hexdigest()]
 
@@ -151,7 +153,7 @@
         in_threads([*_streams(site, history, texts), freeze])
         assert len(history.calls) == len(texts)
         assert wrong_answers(history.calls, expected) == []
-        assert sum(call.clean for call in history.calls) == len(texts)
+        assert sum(call.is_complete for call in history.calls) == len(texts)
 
 
 @pytest.mark.parametrize("victim", ["engine-1", "sidecar-1", "entry-1"])
@@ -173,7 +175,7 @@
         in_threads([*_streams(site, history, texts), kill])
         assert len(history.calls) == len(texts)
         assert wrong_answers(history.calls, expected) == []
-        assert not any(call.clean for call in history.calls)
+        assert not any(call.is_complete for call in history.calls)
 
 
 def test_a_truncated_plain_answer_is_an_error(tmp_path: Path) -> None:
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -38,9 +38,9 @@
     Deployment,
     Entry,
     deployment,
-    read_results,
+    fetch_results_page,
+    job_body,
     route,
-    submission,
 )
 from disturbances import ALL_ENTRIES, Disturbances
 from soak_judge import EVENTS, NOT_DONE, Judge, Record
@@ -146,11 +146,11 @@
     def _write_configuration(self, *routes: dict[str, Any]) -> None:
         """Write the next version of the configuration to the store."""
         self._version += 1
-        self._system.configure(self._version, *STANDARD_ROUTES, *routes)
+        self._system.write_configuration(self._version, *STANDARD_ROUTES, *routes)
 
     def _start_server(self, service: str, behave: Behaviour) -> None:
         """Start a server that entries reach through a relay."""
-        server = self._system.server(service, behave)
+        server = self._system.start_server(service, behave)
         host, port = server.address
         server.address = _parse_address(self._start_relay(server.instance, (host, port)))
         self._system.objects.put("servers", server.instance, server.registration(service))
@@ -167,7 +167,7 @@
     def _start_entry(self, name: str, *, first_start: bool) -> None:
         if name not in self._addresses:
             self._addresses[name] = self._start_relay(name, _parse_address(self._system.store))
-        self._entries[name] = self._system.entry(
+        self._entries[name] = self._system.start_entry(
             name, first_start=first_start, wait=False, store=self._addresses[name]
         )
 
@@ -257,7 +257,7 @@
     def _submit_jobs(self, draw: random.Random) -> None:
         job_id = uuid.uuid4().hex[:16]
         items = [f"{job_id}-{number}" for number in range(draw.randrange(1, 8))]
-        body = submission(*items, path="/batch/x")
+        body = job_body(*items, path="/batch/x")
         statuses: list[int] = []
         for _ in range(3):
             entry = draw.choice(list(self._entries.values()))
@@ -295,7 +295,7 @@
         job_id = HELD_PREFIX + uuid.uuid4().hex[:16]
         items = [f"{job_id}-{number}" for number in range(2)]
         owner = draw.choice(sorted(self._entries))
-        body = submission(*items, path="/batch/x")
+        body = job_body(*items, path="/batch/x")
         entry = self._entries[owner]
         if self._call_job(entry, "POST", "/batch/x", job_id, body).status != 202:
             # The job may have been accepted nevertheless, so it has to be ended.
@@ -343,7 +343,7 @@
             return
         job_id = draw.choice(known[-12:])
         entry = draw.choice(list(self._entries.values()))
-        page = read_results(entry, job_id, headers=self._headers(job_id))
+        page = fetch_results_page(entry, job_id, headers=self._headers(job_id))
         if page == 404:
             self._record.add_violation(f"job {job_id}: unknown after its acceptance")
         if not isinstance(page, int):
@@ -386,7 +386,7 @@
     def _kill(self, draw: random.Random) -> None:
         name = self._draw_entry(draw)
         with self._process_locks[name], self._disturbances.record(name):
-            self._entries[name].signal(signal.SIGKILL)
+            self._entries[name].send_signal(signal.SIGKILL)
             self._restart(name, draw.random())
 
     def _kill_all(self, draw: random.Random) -> None:
@@ -395,7 +395,7 @@
                 held.enter_context(self._process_locks[name])
                 held.enter_context(self._disturbances.record(name))
             for entry in self._entries.values():
-                entry.signal(signal.SIGKILL)
+                entry.send_signal(signal.SIGKILL)
             for name in sorted(self._entries):
                 self._restart(name, draw.random())
 
@@ -406,7 +406,7 @@
         with self._process_locks[name], self._disturbances.record(name, planned=True):
             entry = self._entries[name]
             self._judge.stop_requested_at[entry.peer_port] = time.monotonic()
-            entry.signal(signal.SIGTERM)
+            entry.send_signal(signal.SIGTERM)
             self._restart(name, pause)
 
     def _restart(self, name: str, pause: float) -> None:
@@ -427,9 +427,9 @@
     def _freeze_one(self, name: str, share: float) -> None:
         with self._process_locks[name], self._disturbances.record(name):
             entry = self._entries[name]
-            entry.signal(signal.SIGSTOP)
+            entry.send_signal(signal.SIGSTOP)
             time.sleep(0.3 + share * 4.0)
-            entry.signal(signal.SIGCONT)
+            entry.send_signal(signal.SIGCONT)
 
     def _block_calls(self, draw: random.Random) -> None:
         self._block_one(self._draw_entry(draw), draw.random())
@@ -514,7 +514,7 @@
         """Restart a server under its id, often before its registration expires."""
         time.sleep(draw.random() * 1.5)
         service = SERVICES[self._system.servers.index(server)]
-        self._system.restart(server, service)
+        self._system.restart_server(server, service)
 
     def _heal(self) -> None:
         self._system.objects.faults.status = 0
--- a/tests/soak_judge.py
+++ b/tests/soak_judge.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from datetime import UTC, datetime
 
-from direct_harness import Answer, Entry, finished
+from direct_harness import Answer, Entry, all_results
 from disturbances import Disturbances
 
 EVENTS = 6
@@ -181,7 +181,7 @@
                 continue
             for entry in entries:
                 self._check_job(
-                    job_id, items, finished(entry, job_id, headers=self._headers(job_id))
+                    job_id, items, all_results(entry, job_id, headers=self._headers(job_id))
                 )
         for job_id, items in record.refused.items():
             if any(record.runs[item] for item in items):
@@ -217,7 +217,7 @@
         found = set()
         arrived = time.time() - time.monotonic() + at
         for entry in self._entries:
-            for line in entry.logged(f" item={item} "):
+            for line in entry.log_lines_containing(f" item={item} "):
                 logged = datetime.fromisoformat(line.split("time=", 1)[1].split()[0])
                 if -0.1 < logged.replace(tzinfo=UTC).timestamp() - arrived < RUN_LOGGED_S:
                     found.add(entry.name)
--- a/tools/cost_organisations.py
+++ b/tools/cost_organisations.py
@@ -93,7 +93,7 @@
         f" memory_mb={memory:.0f}"
         f" key_us={each_us(lambda number: access.identify(keys[number])):.1f}"
         f" limit_us={each_us(lambda number: quota.admit(names[number])):.1f}"
-        f" hint_us={each_us(lambda number: quota.receive('e1', '1', {number % 97: number})):.1f}"
+        f" hint_us={each_us(lambda n: quota.apply_peer_counts('e1', '1', {n % 97: n})):.1f}"
         f" tidy_ms={_tidy_ms(found[0]):.1f}"
     )
 
--- a/tools/serving_trial.py
+++ b/tools/serving_trial.py
@@ -18,7 +18,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent / "tests"))
 
-from fleet_load import FleetPlan, play_fleet
+from fleet_load import FleetPlan, simulate_fleet
 
 TARGET_MS = 308.0
 """Time to the first event within which a stream is on time."""
@@ -77,7 +77,7 @@
 
 
 def _row(plan: FleetPlan, seeds: range) -> str:
-    reports = [play_fleet(plan, seed) for seed in seeds]
+    reports = [simulate_fleet(plan, seed) for seed in seeds]
     streams = mean(each.on_time(plan.target) for each in reports)
     items = mean(sum(end <= plan.due for end in each.items) / each.submitted for each in reports)
     cuts = sum(each.interruptions for each in reports) / sum(each.submitted for each in reports)
