--- a/packages/node/src/carobspool_node/direct/_forward.py
+++ b/packages/node/src/carobspool_node/direct/_forward.py
@@ -19,29 +19,29 @@
     Route,
     RouteKind,
     Upstream,
-    can_end,
-    given_up_at,
-    has_returned,
+    can_finish_in_time,
+    failover_at,
     has_time_to_serve,
+    is_retry_by_deadline,
 )
-from carobspool_node.direct._attempt import RequestState
 from carobspool_node.direct._caller_connection import CallerConnection
 from carobspool_node.direct._errors import (
+    CallCancelledError,
     CallerGoneError,
     DeadlinePassedError,
-    RunCancelledError,
 )
 from carobspool_node.direct._forwarded_request import upstream_request
+from carobspool_node.direct._group_assignment import UpstreamSplit
 from carobspool_node.direct._loads import LoadTable
 from carobspool_node.direct._messages import (
     CallerRequest,
     HeaderNames,
     Headers,
     UpstreamHead,
-    end_to_end,
+    end_to_end_headers,
 )
-from carobspool_node.direct._neighbourhood import Reach
 from carobspool_node.direct._request_endings import RequestEndings
+from carobspool_node.direct._request_state import RequestState
 from carobspool_node.direct._telemetry import Telemetry
 from carobspool_node.direct._upstream_calls import (
     CallFailedError,
@@ -81,7 +81,7 @@
         names: Header names of the deployment.
         loads: Requests in flight at each upstream.
         connections: Pool of connections to upstreams.
-        reach: Returns the upstreams of a service.
+        split_upstreams: Returns the upstreams of a service.
         telemetry: Logs and metrics.
         time_left: Returns the time until this process exits, ``None`` if it is not shutting down.
     """
@@ -92,7 +92,7 @@
         names: HeaderNames,
         loads: LoadTable,
         connections: UpstreamConnections,
-        reach: Callable[[str], Reach],
+        split_upstreams: Callable[[str], UpstreamSplit],
         telemetry: Telemetry,
         time_left: Callable[[], Millis | None],
     ) -> None:
@@ -100,7 +100,7 @@
         self._names = names
         self._loads = loads
         self._connections = connections
-        self._reach = reach
+        self._split_upstreams = split_upstreams
         self._telemetry = telemetry
         self._time_left = time_left
         self._endings = RequestEndings(clock, telemetry)
@@ -132,7 +132,7 @@
             caller=caller,
             deadline=request.arrived + limit,
             organisation=organisation,
-            returned=has_returned(deadline=limit, timeout=route.timeout),
+            is_retry=is_retry_by_deadline(deadline=limit, timeout=route.timeout),
         )
         try:
             self._try_upstreams(state)
@@ -148,7 +148,7 @@
         time_left = self._time_left()
         if time_left is None:
             return True
-        service = state.route.service_for(state.request.request_id)
+        service = state.route.choose_service(state.request.request_id)
         mean = self._loads.mean_duration(service)
         if has_time_to_serve(time_left, mean):
             return True
@@ -166,7 +166,7 @@
         """Return whether the request can probably end before the caller's deadline."""
         left = state.deadline - self._clock.now()
         mean = self._loads.mean_duration(service)
-        if can_end(time_left=left, mean_duration=mean):
+        if can_finish_in_time(time_left=left, mean_duration=mean):
             return True
         state.last_failure = "it cannot end in the time that is left"
         logging.info(
@@ -179,9 +179,9 @@
         return False
 
     def _try_upstreams(self, state: RequestState) -> None:
-        service = state.route.service_for(state.request.request_id)
+        service = state.route.choose_service(state.request.request_id)
         while True:
-            reach = self._reach(service)
+            split = self._split_upstreams(service)
             if state.deadline - self._clock.now() < MIN_CALL_TIME:
                 raise DeadlinePassedError("not enough time for another call")
             if not state.may_have_run and not self._has_time_before_exit(state):
@@ -191,22 +191,22 @@
                 self._endings.give_up(state, has_upstreams=True)
                 return
             placement = self._loads.place_online(
-                reach.near,
+                split.near,
                 target_latency=state.route.target_latency,
-                returned=state.returned or state.streaming,
+                is_retry=state.is_retry or state.streaming,
                 excluded=frozenset(state.tried),
-                far=reach.far,
+                far=split.far,
             )
             if placement is None:
                 logging.info(
                     "event=no_place request=%s service=%s upstreams=%d returned=%s %s",
                     state.request.request_id,
                     service,
-                    len(reach.near) + len(reach.far),
-                    state.returned,
-                    self._loads.describe(reach.near),
+                    len(split.near) + len(split.far),
+                    state.is_retry,
+                    self._loads.describe(split.near),
                 )
-                self._endings.give_up(state, has_upstreams=bool(reach.near))
+                self._endings.give_up(state, has_upstreams=bool(split.near))
                 return
             state.tried.add(placement.upstream.identity)
             state.upstream_loads.append(f"{placement.upstream.instance}:{placement.load.total}")
@@ -224,7 +224,7 @@
     def _may_retry(self, state: RequestState) -> bool:
         if state.turned_away >= MAX_REJECTIONS:
             return False
-        return state.route.may_repeat or not state.may_have_run
+        return state.route.is_retryable or not state.may_have_run
 
     def _call_upstream(self, state: RequestState, upstream: Upstream) -> bool:
         """Call one upstream; return whether the caller has received its answer."""
@@ -236,7 +236,7 @@
                 self._call_deadline(state),
                 idle_deadline=self._idle_deadline(state, upstream, started),
             )
-            self._loads.heard(upstream)
+            self._loads.record_activity(upstream)
             return self._relay_answer(state, upstream, call, head)
         except CallFailedError as error:
             self._record_failure(state, upstream, str(error), sent=error.sent)
@@ -249,17 +249,17 @@
             state.runs += 1
             if self._clock.now() >= state.deadline - MIN_CALL_TIME:
                 raise
-            self._loads.suspect(upstream)
+            self._loads.record_failure(upstream)
             state.last_failure = "no answer in the time of one try"
             return False
-        except RunCancelledError as error:
+        except CallCancelledError as error:
             self._record_failure(state, upstream, str(error), sent=True)
             return False
         except CallerGoneError:
             waited = self._clock.now() - started
-            silent = self._loads.heard_at(upstream) <= started
+            silent = self._loads.last_activity_at(upstream) <= started
             if not state.streaming and silent and waited > HANG_THRESHOLD:
-                self._loads.suspect(upstream)
+                self._loads.record_failure(upstream)
             raise
         finally:
             call.close()
@@ -267,7 +267,7 @@
     def _record_failure(
         self, state: RequestState, upstream: Upstream, reason: str, *, sent: bool
     ) -> None:
-        self._loads.suspect(upstream)
+        self._loads.record_failure(upstream)
         state.last_failure = reason
         self._telemetry.count("upstream_failures", service=upstream.service)
         logging.info(
@@ -299,9 +299,9 @@
         mean = self._loads.mean_duration(upstream.service)
 
         def idle_deadline() -> Millis:
-            return given_up_at(
+            return failover_at(
                 started=started,
-                heard=self._loads.heard_at(upstream),
+                last_activity_at=self._loads.last_activity_at(upstream),
                 silence=STREAM_IDLE_TIMEOUT,
                 mean_duration=mean,
             )
@@ -330,7 +330,7 @@
             head.status >= HTTPStatus.INTERNAL_SERVER_ERROR
             and head.status != DEADLINE_EXCEEDED_STATUS
         ):
-            self._loads.suspect(upstream)
+            self._loads.record_failure(upstream)
         if self._should_retry_answer(state, head):
             state.last_failure = f"status {head.status}"
             return False
@@ -353,8 +353,8 @@
     ) -> None:
         splitter = EventSplitter()
         silence = STREAM_IDLE_TIMEOUT if state.route.resumable else None
-        for data in call.body(state.deadline, silence=silence):
-            self._loads.heard(upstream)
+        for data in call.body(state.deadline, idle_timeout=silence):
+            self._loads.record_activity(upstream)
             pieces = []
             for event in splitter.feed(data):
                 if state.last_event is not None and event.event_id is not None:
@@ -370,7 +370,9 @@
             if not state.streaming:
                 state.streaming = True
                 state.caller.start_stream(head.status, _answer_headers(head), head.reason)
-                self._telemetry.time("first_event", self._clock.now() - state.request.arrived)
+                self._telemetry.observe_duration(
+                    "first_event", self._clock.now() - state.request.arrived
+                )
             state.caller.send_piece(b"".join(pieces))
         if splitter.incomplete:
             raise _StreamBrokenError("the stream ends in the middle of an event")
@@ -384,4 +386,4 @@
 
 
 def _answer_headers(head: UpstreamHead) -> Headers:
-    return end_to_end(head.headers, without=(b"content-length",))
+    return end_to_end_headers(head.headers, without=(b"content-length",))
--- a/packages/node/src/carobspool_node/direct/_hint_receiver.py
+++ b/packages/node/src/carobspool_node/direct/_hint_receiver.py
@@ -43,7 +43,7 @@
 """Takes a peer's name and the batch items that wait at the peer."""
 
 
-class PeerEvents(Struct, frozen=True, kw_only=True):
+class PeerCallbacks(Struct, frozen=True, kw_only=True):
     """Callbacks for the content of peers' hints and for silent peers.
 
     Attributes:
@@ -87,10 +87,10 @@
         self._table = table
         self._identities_by_key = identities_by_key
         self._bad_hints = bad_hints
-        self._events = PeerEvents()
+        self._events = PeerCallbacks()
         self._stopped = threading.Event()
 
-    def start(self, events: PeerEvents) -> None:
+    def start(self, events: PeerCallbacks) -> None:
         """Start the receiving thread.
 
         Args:
@@ -168,7 +168,9 @@
         if lost is not None:
             self._events.lost(lost)
         self._events.ended(announcement.ended)
-        groups = [WaitingGroup(float(turn), count) for turn, count in announcement.backlog]
+        groups = [
+            WaitingGroup(float(start_order), count) for start_order, count in announcement.backlog
+        ]
         self._events.backlog(announcement.name, groups)
         self._apply_announced_loads(announcement, packed, counts)
         self._events.versions(announcement.name, announcement.versions)
--- a/packages/node/src/carobspool_node/direct/_load_hint.py
+++ b/packages/node/src/carobspool_node/direct/_load_hint.py
@@ -15,7 +15,7 @@
 from msgspec import Struct, field
 
 from carobspool_core import Json
-from carobspool_core.direct import Load, WaitingGroup, key_of
+from carobspool_core.direct import Load, WaitingGroup, short_key_of
 from carobspool_core.problems import Problem, UnusableRecordError
 from carobspool_node.organisations import pack_counts, unpack_counts
 
@@ -62,7 +62,7 @@
     """Pack loads, which are given by the upstream's identity, into bytes."""
     return b"".join(
         _LOAD_STRUCT.pack(
-            key_of(identity), min(load.online, _MAX_UINT16), min(load.batch, _MAX_UINT16)
+            short_key_of(identity), min(load.online, _MAX_UINT16), min(load.batch, _MAX_UINT16)
         )
         for identity, load in loads.items()
     )
@@ -90,7 +90,7 @@
 ) -> bytes:
     """Encode a load hint. Entries of the previous version reject a load hint with counts."""
     groups = b"".join(
-        _GROUP_STRUCT.pack(min(int(group.turn), _MAX_UINT32), min(group.items, _MAX_UINT16))
+        _GROUP_STRUCT.pack(min(int(group.start_order), _MAX_UINT32), min(group.items, _MAX_UINT16))
         for group in backlog
     )
     message = [_LOAD_HINT_KIND, name, incarnation, sequence, pack_loads(loads), groups]
@@ -133,8 +133,8 @@
             0 <= sequence <= MAX_SEQUENCE and len(groups) % _GROUP_STRUCT.size == 0
         ):
             backlog = [
-                WaitingGroup(float(turn), items)
-                for turn, items in _GROUP_STRUCT.iter_unpack(groups)
+                WaitingGroup(float(start_order), items)
+                for start_order, items in _GROUP_STRUCT.iter_unpack(groups)
             ]
             return LoadHint(
                 name=name,
--- a/packages/node/src/carobspool_node/direct/_membership.py
+++ b/packages/node/src/carobspool_node/direct/_membership.py
@@ -10,7 +10,7 @@
 
 from carobspool_core import Clock, Millis, ObjectChange, ObjectStore, StoredObject, StoreFault
 from carobspool_core import owner as rendezvous_owner
-from carobspool_core.direct import DutyCandidate, SharedView, has_watch_duty
+from carobspool_core.direct import ViewVersion, WatchCandidate, should_watch_store
 from carobspool_core.problems import UnusableRecordError
 from carobspool_core.records import read_record
 from carobspool_node.direct._bad_records import BadRecords
@@ -68,14 +68,16 @@
         self._address = address
         self._leaving = leaving
         self._store_ok = store_ok
-        self._names_view = SharedView(change_time=MAX_DISAGREEMENT, read_again=REREAD_INTERVAL)
+        self._names_view = ViewVersion(
+            propagation_time=MAX_DISAGREEMENT, reread_interval=REREAD_INTERVAL
+        )
         self._bad_entries = BadRecords(clock, telemetry, "entry", "entry")
         self._entries = Follower(
             store,
             "entries/",
             on_listing=self._apply_listing,
             on_change=self._apply_change,
-            gather=WATCH_PAUSE,
+            watch_pause=WATCH_PAUSE,
             on_duty=self.follows_store,
             settle_time=SETTLE_TIME,
         )
@@ -88,22 +90,22 @@
         """Return the digest of the known entries, for comparison by other processes."""
         return {NAMES_VERSION: self._peers.names_digest()}
 
-    def compare(self, versions: Mapping[str, int]) -> None:
+    def refresh_if_behind(self, versions: Mapping[str, int]) -> None:
         """Read the list again if other processes have known other entries for too long."""
         self._names_view.version = self._peers.names_digest()
         digest = versions.get(NAMES_VERSION, 0)
-        if digest and self._names_view.differs(digest, self._clock.now()):
+        if digest and self._names_view.should_reread_for_digest(digest, self._clock.now()):
             self._entries.refresh()
 
     def follows_store(self) -> bool:
         """Whether this entry is one of those that follow the store on behalf of all entries."""
-        own = DutyCandidate(name=self._node, store_ok=self._store_ok())
+        own = WatchCandidate(name=self._node, store_ok=self._store_ok())
         others = [
-            DutyCandidate(name=each.name, store_ok=each.store_ok)
+            WatchCandidate(name=each.name, store_ok=each.store_ok)
             for each in self._peers.live()
             if not each.leaving
         ]
-        return has_watch_duty(own, others)
+        return should_watch_store(own, others)
 
     def has_duty(self, duty: str) -> bool:
         """Whether this entry, among those that reach the store, performs a duty for all."""
@@ -151,14 +153,14 @@
     def _apply_entry(self, stored: StoredObject, *, deleted: bool) -> None:
         name = stored.key.removeprefix("entries/")
         if deleted:
-            self._bad_entries.mended(name)
+            self._bad_entries.report_valid(name)
             self._peers.set_address(name, None)
             return
         try:
             address = read_record(EntryRecord, stored.value).address
         except UnusableRecordError as error:
-            self._bad_entries.note(name, error)
+            self._bad_entries.report_if_changed(name, error)
             self._peers.set_address(name, None)
             return
-        self._bad_entries.mended(name)
+        self._bad_entries.report_valid(name)
         self._peers.set_address(name, address)
--- a/packages/node/tests/test_direct_job_adoption.py
+++ b/packages/node/tests/test_direct_job_adoption.py
@@ -32,7 +32,7 @@
 
     identity = "e2#1"
 
-    def holder_of(self, job_id: str) -> None:
+    def find_job_peer(self, job_id: str) -> None:
         """Return no peer."""
 
     def by_identity(self, identity: str) -> None:
@@ -55,7 +55,7 @@
         runner,  # type: ignore[arg-type]
         _NoPeers(),  # type: ignore[arg-type]
         Telemetry(),
-        peers_settled=lambda: False,
+        are_peers_known=lambda: False,
     )
     return adoption, runner
 
--- a/packages/node/tests/test_direct_owned_job.py
+++ b/packages/node/tests/test_direct_owned_job.py
@@ -10,7 +10,7 @@
 from carobspool_core import Millis, StoreFailure, StoreFault
 from carobspool_core.direct import (
     BatchUrgency,
-    ItemEnd,
+    ItemOutcome,
     ItemResult,
     JobInput,
     JobItem,
@@ -103,13 +103,15 @@
 
 def test_proof_from_before_a_loss_of_contact_stays_invalid(job: OwnedJob, clock: _Clock) -> None:
     """Contact was restored long ago, but the job may have been ended or taken over before."""
-    doubt_until = clock.time + 4_000.0
-    assert job.proof.is_valid(doubt_until=doubt_until, max_age=1_500.0)
+    ownership_uncertain_until = clock.time + 4_000.0
+    assert job.proof.is_valid(ownership_uncertain_until=ownership_uncertain_until, max_age=1_500.0)
     clock.time += 60_000.0
-    assert not job.proof.is_valid(doubt_until=doubt_until, max_age=1_500.0)
+    assert not job.proof.is_valid(
+        ownership_uncertain_until=ownership_uncertain_until, max_age=1_500.0
+    )
     assert job.verify()
     clock.time += 60_000.0
-    assert job.proof.is_valid(doubt_until=doubt_until, max_age=1_500.0)
+    assert job.proof.is_valid(ownership_uncertain_until=ownership_uncertain_until, max_age=1_500.0)
 
 
 def test_job_continues_for_the_grace_period_while_the_store_is_unreachable(
@@ -129,7 +131,7 @@
     """All items have run and the store refuses each commit at once. Without a delay, every entry
     with such a job retried the last commit 60 times a second."""
     (work,) = job.work.open_items()
-    job.work.finish(work, ItemEnd.COMPLETED)
+    job.work.finish(work, ItemOutcome.COMPLETED)
     assert job.is_commit_due(clock.time)
     refusal = Failure(StoreFailure(fault=StoreFault.UNAVAILABLE, key="j", detail="503"))
     monkeypatch.setattr(store, "update", lambda key, value, *, version: refusal)
@@ -149,12 +151,12 @@
     ended. The old owner resumes and receives only the report of the end. Trusting the report, it
     would consider the job finished, never read the store again, and omit the result forever."""
     run = _run(job)
-    result = ItemResult(item_id="i", end=ItemEnd.COMPLETED, text="t")
+    result = ItemResult(item_id="i", outcome=ItemOutcome.COMPLETED, text="t")
     _change(records, owner="e2#1", results=(result,), ended=True)
     assert job.report_ended()
     assert run.cancellation.cancelled
     assert not job.finished
-    assert not job.proof.is_valid(doubt_until=0.0, max_age=1_500.0)
+    assert not job.proof.is_valid(ownership_uncertain_until=0.0, max_age=1_500.0)
     assert not job.verify()
     assert job.lost
 
@@ -172,7 +174,7 @@
     store.outage = False
     clock.time += 10.0
     assert job.verify()
-    assert job.proof.is_valid(doubt_until=0.0, max_age=1_500.0)
+    assert job.proof.is_valid(ownership_uncertain_until=0.0, max_age=1_500.0)
 
 
 def test_commit_sent_before_a_reported_end_does_not_verify_it(job: OwnedJob, clock: _Clock) -> None:
@@ -181,7 +183,7 @@
     clock.time += 10.0
     assert job.report_ended()
     job.proof.renew(requested_at)
-    assert not job.proof.is_valid(doubt_until=0.0, max_age=1_500.0)
+    assert not job.proof.is_valid(ownership_uncertain_until=0.0, max_age=1_500.0)
 
 
 def test_job_whose_records_were_removed_is_lost(
--- a/packages/node/tests/test_direct_view_exchange.py
+++ b/packages/node/tests/test_direct_view_exchange.py
@@ -11,7 +11,7 @@
 import pytest
 
 from carobspool_core import Json, boottime_clock
-from carobspool_core.direct import Upstream, UpstreamsView
+from carobspool_core.direct import Upstream, UpstreamsSnapshot
 from carobspool_core.problems import UnusableRecordError
 from carobspool_node.direct import _packed_answer
 from carobspool_node.direct._packed_answer import AnswerPacker, unpack_answer
@@ -40,20 +40,20 @@
     def stored_configuration(self) -> tuple[int, Json]:
         return 7, {"version": 4}
 
-    def upstreams_view(self) -> tuple[int, UpstreamsView]:
-        return 9, UpstreamsView(listed=[ENGINE], lapsed=[(ENGINE, 120.0)])
+    def upstreams_view(self) -> tuple[int, UpstreamsSnapshot]:
+        return 9, UpstreamsSnapshot(listed=[ENGINE], lapsed=[(ENGINE, 120.0)])
 
-    def newer_kinds(self, versions: Mapping[str, int]) -> list[str]:
+    def newer_views(self, versions: Mapping[str, int]) -> list[str]:
         return ["configuration", "upstreams"]
 
-    def compare(self, versions: Mapping[str, int]) -> None:
+    def refresh_if_behind(self, versions: Mapping[str, int]) -> None:
         self.compared += 1
 
     def adopt_configuration(self, revision: int, value: Json) -> bool:
         self.adopted.append((revision, value))
         return True
 
-    def adopt_upstreams(self, revision: int, view: UpstreamsView) -> bool:
+    def adopt_upstreams(self, revision: int, view: UpstreamsSnapshot) -> bool:
         self.adopted.append((revision, view))
         return True
 
@@ -71,7 +71,7 @@
 
 
 def _exchange(declared: _Declared, caller: _Caller) -> ViewExchange:
-    peer = Peer(name="e2", incarnation="1", address=("127.0.0.1", 1), heard=0.0)
+    peer = Peer(name="e2", incarnation="1", address=("127.0.0.1", 1), last_heard_at=0.0)
     return ViewExchange(
         boottime_clock(),
         declared,  # type: ignore[arg-type]
@@ -82,7 +82,7 @@
 
 
 def _compare(exchange: ViewExchange) -> None:
-    exchange.compare("e2", {})
+    exchange.pull_newer_views("e2", {})
     exchange.close()
 
 
@@ -94,7 +94,7 @@
     _compare(_exchange(declared, caller))
     assert sorted(declared.adopted, key=lambda each: each[0]) == [
         (7, {"version": 4}),
-        (9, UpstreamsView(listed=[ENGINE], lapsed=[(ENGINE, 120.0)])),
+        (9, UpstreamsSnapshot(listed=[ENGINE], lapsed=[(ENGINE, 120.0)])),
     ]
 
 
@@ -132,7 +132,7 @@
     caller = _Caller(fail)
     exchange = _exchange(_Declared(), caller)
     _compare(exchange)
-    exchange.compare("e3", {})
+    exchange.pull_newer_views("e3", {})
     assert caller.calls <= 2
 
 
