--- a/packages/standins/src/carobspool_standins/_client.py
+++ b/packages/standins/src/carobspool_standins/_client.py
@@ -16,12 +16,12 @@
 
 
 class NoAnswer(StandinError):
-    """A call ended without a whole answer: refused, reset, cut short or timed out."""
+    """A call that got no complete response: refused, reset, truncated or timed out."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Reply:
-    """An answer; header names are in lower case."""
+    """A complete HTTP response; header names are in lower case."""
 
     status: int
     headers: Mapping[str, str] = field(default_factory=dict)
@@ -29,22 +29,22 @@
 
     @property
     def json(self) -> Any:
-        """The body as JSON."""
+        """Body parsed as JSON."""
         return json.loads(self.body)
 
     @property
     def text(self) -> str:
-        """The body as text."""
+        """Body decoded as UTF-8."""
         return self.body.decode("utf-8")
 
 
 class HttpClient:
-    """Calls one server, each time over a new connection; not to be shared by threads.
+    """Client of one server that opens a new connection for each call; not thread-safe.
 
     Args:
-        base: URL without a path.
+        base: Base URL, without a path.
         key: Bearer key to send.
-        timeout_ms: Limit of each call.
+        timeout_ms: Time limit of each call.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
 
     @property
     def base(self) -> str:
-        """URL without a path."""
+        """Base URL, without a path."""
         return self._base
 
     def call(
@@ -70,7 +70,7 @@
         headers: Mapping[str, str] | None = None,
         on_data: Callable[[bytes], int | None] | None = None,
     ) -> Reply:
-        """Make one call.
+        """Make one call and return the response.
 
         Args:
             method: HTTP method.
@@ -78,18 +78,18 @@
             body: Body to send.
             json_body: Value to send as a JSON body.
             headers: Further headers.
-            on_data: Takes the body's pieces as they come, in place of the reply's body; any
-                answer but ``None`` aborts the call.
+            on_data: Called with each chunk of the body as it arrives; the reply's body then stays
+                empty. Any return value but ``None`` aborts the call.
 
         Raises:
-            NoAnswer: If there was no whole answer.
+            NoAnswer: If the call got no complete response.
         """
-        sent = dict(headers or {})
+        request_headers = dict(headers or {})
         if json_body is not None:
             body = json.dumps(json_body)
-            sent.setdefault("Content-Type", "application/json")
+            request_headers.setdefault("Content-Type", "application/json")
         if self._key is not None:
-            sent.setdefault("Authorization", f"Bearer {self._key}")
+            request_headers.setdefault("Authorization", f"Bearer {self._key}")
         curl = self._curl
         curl.reset()
         received = io.BytesIO()
@@ -98,8 +98,8 @@
         curl.setopt(pycurl.CUSTOMREQUEST, method)
         curl.setopt(pycurl.NOSIGNAL, 1)
         curl.setopt(pycurl.TCP_NODELAY, 1)
-        # On a kept connection that breaks before the answer, libcurl sends the request once more
-        # on its own: a cut connection would then run a call twice and be reported as a success.
+        # If a reused connection breaks before the response, libcurl silently resends the request.
+        # The call would then run twice and the broken connection be reported as a success.
         curl.setopt(pycurl.FRESH_CONNECT, 1)
         curl.setopt(pycurl.FORBID_REUSE, 1)
         curl.setopt(pycurl.TIMEOUT_MS, self._timeout_ms)
@@ -107,8 +107,10 @@
             curl.setopt(pycurl.NOBODY, 1)
         if body is not None:
             curl.setopt(pycurl.POSTFIELDS, body)
-        curl.setopt(pycurl.HTTPHEADER, ["Expect:", *(f"{k}: {v}" for k, v in sent.items())])
-        curl.setopt(pycurl.HEADERFUNCTION, lambda line: _read_header(line, reply_headers))
+        curl.setopt(
+            pycurl.HTTPHEADER, ["Expect:", *(f"{k}: {v}" for k, v in request_headers.items())]
+        )
+        curl.setopt(pycurl.HEADERFUNCTION, lambda line: _store_header(line, reply_headers))
         curl.setopt(pycurl.WRITEFUNCTION, on_data or received.write)
         try:
             curl.perform()
@@ -118,11 +120,11 @@
         return Reply(status=status, headers=reply_headers, body=received.getvalue())
 
     def close(self) -> None:
-        """Free what the client holds."""
+        """Release the libcurl handle."""
         self._curl.close()
 
 
-def _read_header(line: bytes, headers: dict[str, str]) -> None:
-    name, mark, value = line.decode("latin-1").partition(":")
-    if mark:
+def _store_header(line: bytes, headers: dict[str, str]) -> None:
+    name, separator, value = line.decode("latin-1").partition(":")
+    if separator:
         headers[name.strip().lower()] = value.strip()
--- a/packages/standins/src/carobspool_standins/_member.py
+++ b/packages/standins/src/carobspool_standins/_member.py
@@ -1,4 +1,4 @@
-"""Processes of a cluster and the keys of its callers, by which tools and tests refer to them."""
+"""Addresses of a cluster's processes and the API keys of its callers."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
     """One process of a cluster.
 
     Attributes:
-        name: Its name, also that of its node.
-        port: Port of its HTTP interface; of a sidecar, the port on which it takes entries.
+        name: Name of the process, also its node name.
+        port: Port of the HTTP interface; for a sidecar, the port to which entries connect.
     """
 
     name: str
@@ -23,22 +23,22 @@
 
     @property
     def address(self) -> str:
-        """``ip:port``."""
+        """Address as ``ip:port``."""
         return f"{LOOPBACK}:{self.port}"
 
     @property
     def url(self) -> str:
-        """URL without a path."""
+        """Base URL, without a path."""
         return f"http://{self.address}"
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Key:
-    """A bearer key and the hash of it that a configuration holds."""
+    """A bearer key, of which a configuration stores only the hash."""
 
     value: str = field(default_factory=lambda: secrets.token_urlsafe(24))
 
     @property
     def hash(self) -> str:
-        """SHA-256 in hex."""
+        """SHA-256 of the key in hexadecimal."""
         return hashlib.sha256(self.value.encode()).hexdigest()
--- a/packages/standins/src/carobspool_standins/_processes.py
+++ b/packages/standins/src/carobspool_standins/_processes.py
@@ -1,4 +1,4 @@
-"""A group of processes: start, wait until ready, signal, and end every one of them."""
+"""Groups of child processes: start them, wait until they are ready, signal and end them."""
 
 from __future__ import annotations
 
@@ -14,22 +14,28 @@
 
 from carobspool_standins.errors import ClusterError
 
-POLL_SECONDS = 0.01
-READY_SECONDS = 30.0
-READY_MARK = b"ready port="
-_UTIME_FIELD = 11  # Counted from the field after the name of the process.
+POLL_INTERVAL_S = 0.01
+READY_TIMEOUT_S = 30.0
+READY_MARKER = b"ready port="
+_UTIME_INDEX = 11  # Index among the fields that follow the process name.
 
 
 def process_seconds(pid: int) -> float:
-    """Return the processor time that a process has used, in user and system mode."""
+    """Return the CPU time of a process in seconds, user and system mode together."""
     fields = Path(f"/proc/{pid}/stat").read_text(encoding="ascii").rpartition(")")[2].split()
-    ticks = int(fields[_UTIME_FIELD]) + int(fields[_UTIME_FIELD + 1])
+    ticks = int(fields[_UTIME_INDEX]) + int(fields[_UTIME_INDEX + 1])
     return ticks / os.sysconf("SC_CLK_TCK")
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Command:
-    """How a process is started: module of this interpreter, its arguments, its log."""
+    """How to start a process.
+
+    Attributes:
+        module: Module that this interpreter runs.
+        arguments: Command-line arguments of the module.
+        log: File to which standard output and standard error are appended.
+    """
 
     module: str
     arguments: Sequence[str]
@@ -37,7 +43,7 @@
 
 
 class ProcessGroup:
-    """Processes by name; all have ended when the group is closed."""
+    """Named child processes that are started, signalled and ended through one object."""
 
     def __init__(self) -> None:
         self._commands: dict[str, Command] = {}
@@ -46,17 +52,17 @@
 
     @property
     def names(self) -> list[str]:
-        """Names in the order of their first start."""
+        """Names of the processes in the order of their first start."""
         return list(self._commands)
 
     def start(self, name: str, command: Command) -> None:
         """Start a process and return at once.
 
         Raises:
-            ClusterError: If one of this name is running.
+            ClusterError: If a process of this name is running.
         """
         if self.is_running(name):
-            raise ClusterError(f"{name} is running")
+            raise ClusterError(f"process {name} is already running")
         with command.log.open("ab") as log:
             self._log_starts[name] = log.tell()
             self._processes[name] = subprocess.Popen(
@@ -68,35 +74,37 @@
         self._commands[name] = command
 
     def restart(self, name: str) -> None:
-        """Start a process that has ended once more, as before."""
+        """Start an ended process again with the same command."""
         self.start(name, self._commands[name])
 
-    def wait_ready(self, names: Sequence[str], seconds: float = READY_SECONDS) -> None:
-        """Wait until each process has told that it is ready.
+    def wait_ready(self, names: Sequence[str], seconds: float = READY_TIMEOUT_S) -> None:
+        """Wait until each process has logged that it is ready.
 
         Raises:
-            ClusterError: If one ends or is not ready in time; its log is quoted.
+            ClusterError: If a process ends or is not ready in time; the message quotes its log.
         """
         deadline = time.monotonic() + seconds
         for name in names:
             while not self._is_ready(name):
                 if not self.is_running(name):
-                    raise ClusterError(f"{name} ended at its start:\n{self.log(name)}")
+                    raise ClusterError(f"process {name} ended during startup:\n{self.log(name)}")
                 if time.monotonic() > deadline:
-                    raise ClusterError(f"{name} is not ready in time:\n{self.log(name)}")
-                time.sleep(POLL_SECONDS)
+                    raise ClusterError(
+                        f"process {name} is not ready after {seconds} s:\n{self.log(name)}"
+                    )
+                time.sleep(POLL_INTERVAL_S)
 
     def is_running(self, name: str) -> bool:
-        """Whether a process of this name was started and has not ended."""
+        """Return whether a process of this name was started and has not ended."""
         process = self._processes.get(name)
         return process is not None and process.poll() is None
 
     def pid(self, name: str) -> int:
-        """Return the id of a process."""
+        """Return the process id of the latest start."""
         return self._processes[name].pid
 
     def log(self, name: str) -> str:
-        """Return all that a process has written, over all its starts."""
+        """Return the whole log of a process, across all its starts."""
         return self._commands[name].log.read_text(encoding="utf-8", errors="replace")
 
     def send(self, name: str, number: signal.Signals) -> None:
@@ -106,7 +114,7 @@
             process.send_signal(number)
 
     def wait(self, name: str, seconds: float) -> int:
-        """Wait for the end of a process and return its exit code.
+        """Wait until a process ends and return its exit code.
 
         Raises:
             ClusterError: If it does not end in time.
@@ -114,14 +122,17 @@
         try:
             return self._processes[name].wait(seconds)
         except subprocess.TimeoutExpired as error:
-            raise ClusterError(f"{name} has not ended after {seconds} s") from error
+            raise ClusterError(f"process {name} has not ended after {seconds} s") from error
 
     def close(self, names: Sequence[str], seconds: float) -> None:
-        """End processes: politely all at once, then by force those that take long.
+        """Terminate processes with SIGTERM, then kill those that have not ended in time.
+
+        All processes get SIGTERM before the wait starts. SIGCONT comes first, because a stopped
+        process would not handle it.
 
         Args:
             names: Processes to end.
-            seconds: Time before force is used.
+            seconds: Time that the processes have together before SIGKILL.
         """
         for name in names:
             self.send(name, signal.SIGCONT)
@@ -140,4 +151,4 @@
     def _is_ready(self, name: str) -> bool:
         with self._commands[name].log.open("rb") as log:
             log.seek(self._log_starts[name])
-            return READY_MARK in log.read()
+            return READY_MARKER in log.read()
