--- a/packages/standins/src/carobspool_standins/_arrivals.py
+++ b/packages/standins/src/carobspool_standins/_arrivals.py
@@ -1,4 +1,4 @@
-"""Open-loop arrivals: instants at which requests come, whatever became of the ones before."""
+"""Open-loop arrival times: requests arrive whether or not earlier requests have finished."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class Steady(Settings):
-    """A constant rate of ``rate`` a second."""
+    """Constant rate of ``rate`` requests per second."""
 
     kind: Literal["steady"]
     rate: Rate
 
 
 class OnOff(Settings):
-    """Bursts of ``on_s`` seconds at ``rate``, with ``off_s`` seconds at ``idle_rate`` between."""
+    """Bursts of ``on_s`` seconds at ``rate``, separated by ``off_s`` seconds at ``idle_rate``."""
 
     kind: Literal["on_off"]
     rate: Rate
@@ -31,7 +31,7 @@
 
 
 class Ramp(Settings):
-    """A rate that grows evenly from ``start_rate`` to ``rate`` over the whole run."""
+    """Rate that grows linearly from ``start_rate`` to ``rate`` over the whole run."""
 
     kind: Literal["ramp"]
     rate: Rate
@@ -42,10 +42,10 @@
 
 
 def rate_function(arrivals: Steady | OnOff | Ramp, seconds: float) -> Callable[[float], float]:
-    """Return the rate as a function of the time since the start.
+    """Return the requests per second as a function of the seconds since the start.
 
     Args:
-        arrivals: Their pattern.
+        arrivals: Arrival pattern.
         seconds: Length of the run.
     """
     if isinstance(arrivals, Steady):
@@ -58,29 +58,30 @@
 
 
 def arrival_times(
-    arrivals: Steady | OnOff | Ramp, seconds: float, source: random.Random, *, factor: float = 1.0
+    arrivals: Steady | OnOff | Ramp, seconds: float, rng: random.Random, *, factor: float = 1.0
 ) -> list[float]:
-    """Return the instants of a Poisson process with a changing rate, in seconds from the start.
+    """Return the arrivals of a Poisson process of varying rate, in seconds from the start.
 
     Args:
-        arrivals: Pattern of the rate.
+        arrivals: Arrival pattern.
         seconds: Length of the run.
-        source: Seeded random numbers.
-        factor: Factor on all rates.
+        rng: Seeded random number generator.
+        factor: Factor by which all rates are multiplied.
     """
     rate = rate_function(arrivals, seconds)
-    highest = max(
+    max_rate = max(
         arrivals.rate, getattr(arrivals, "idle_rate", 0), getattr(arrivals, "start_rate", 0)
     )
-    highest *= factor
-    found: list[float] = []
-    if highest <= 0:
-        return found
+    max_rate *= factor
+    times: list[float] = []
+    if max_rate <= 0:
+        return times
     at = 0.0
     while True:
-        at += source.expovariate(highest)
+        at += rng.expovariate(max_rate)
         if at >= seconds:
-            return found
-        # Thinning: candidates come at the highest rate and are taken with the present share of it.
-        if source.random() * highest < rate(at) * factor:
-            found.append(at)
+            return times
+        # Thinning: candidates arrive at the maximum rate, and each is accepted with probability
+        # current rate / maximum rate.
+        if rng.random() * max_rate < rate(at) * factor:
+            times.append(at)
--- a/packages/standins/src/carobspool_standins/_experiment_settings.py
+++ b/packages/standins/src/carobspool_standins/_experiment_settings.py
@@ -1,4 +1,4 @@
-"""The experiment file: fleet, load, and the arms that are compared."""
+"""Settings in an experiment file: the fleet, the load and the arms to compare."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Sizes(Settings):
-    """Log-normal sizes in tokens, bounded."""
+    """Log-normal distribution of sizes in tokens, limited to ``least`` … ``most``."""
 
     median: float = Field(gt=0)
     sigma: float = Field(default=0.6, ge=0)
@@ -24,14 +24,14 @@
 
 
 class Fleet(Settings):
-    """The processes of one run.
+    """Processes of one run.
 
     Attributes:
-        engines: Model engines, each with a sidecar.
-        services: Plain services, each with a sidecar.
-        entries: Entries.
-        failure_domains: Names; upstreams and entries are spread over them in turn.
-        one_way_ms: Delay between an entry and each sidecar; 0: no relay between them.
+        engines: Number of model engines, each with a sidecar.
+        services: Number of plain services, each with a sidecar.
+        entries: Number of entries.
+        failure_domains: Failure domains, assigned to upstreams and to entries in rotation.
+        one_way_ms: One-way delay between entries and sidecars; 0 runs no relay between them.
         engine: Further settings of the engines.
     """
 
@@ -45,21 +45,22 @@
     @model_validator(mode="after")
     def _bounded(self) -> Fleet:
         if 2 * (self.engines + self.services) + self.entries > MAX_PROCESSES:
-            raise ValueError(f"more than {MAX_PROCESSES} processes")
+            raise ValueError(f"the fleet has more than {MAX_PROCESSES} processes")
         return self
 
 
 class OnlineLoad(Settings):
-    """Requests of people who wait.
+    """Interactive chat requests.
 
     Attributes:
-        arrivals: When they come, over all callers.
+        arrivals: Arrival pattern of all callers together.
         callers: Number of callers.
-        hot_share: Share of the requests that the first caller sends; 0: all send the same.
+        hot_share: Share of the requests assigned to the first caller; the rest is drawn evenly
+            from all callers, the first one included.
         prompt: Prompt sizes.
         answer: Answer sizes.
-        shared_prefix_tokens: Tokens at the start of every prompt that are the same for all.
-        timeout_ms: Deadline of a request.
+        shared_prefix_tokens: Length of the prefix that all prompts share.
+        timeout_ms: Timeout of a request.
     """
 
     arrivals: Arrivals
@@ -72,14 +73,14 @@
 
 
 class ServiceLoad(Settings):
-    """Calls of the plain services."""
+    """Calls of the plain services, each of which takes ``work_ms``."""
 
     arrivals: Arrivals
     work_ms: float = Field(default=5.0, ge=0)
 
 
 class BatchLoad(Settings):
-    """Batch work, enough of it that it does not end before the run does."""
+    """Batch jobs; the number of items must be large enough that the jobs outlast the run."""
 
     items: int = Field(ge=1, le=100_000)
     jobs: int = Field(default=1, ge=1, le=50)
@@ -88,15 +89,15 @@
 
 
 class Arm(Settings):
-    """One way of running the same load.
+    """One variant of the experiment.
 
     Attributes:
-        name: Shown in the results.
-        admission: The sidecars' setting of the same name.
-        batch: Whether batch work is there.
-        direct: Whether callers go straight to the engines, without the system.
-        load: Factor on the rate of online requests.
-        state: Sections of the desired state in place of the common ones.
+        name: Name in the results.
+        admission: The setting ``admission`` of the sidecars.
+        batch: Whether batch jobs are submitted.
+        direct: Whether callers send to the engines directly, without entries and sidecars.
+        load: Factor by which the rate of online requests is multiplied.
+        state: Sections of the desired state that replace those of the experiment.
     """
 
     name: str
@@ -111,19 +112,19 @@
     """An experiment.
 
     Attributes:
-        name: Shown in the results; also names the result files.
-        seeds: Each arm is run once with each.
-        warm_up_s: Seconds at the start of the load that are not counted.
-        run_s: Seconds that are counted.
+        name: Name in the results and of the result files.
+        seeds: Seeds; each arm runs once with each seed.
+        warm_up_s: Length of the warm-up in seconds, which is not measured.
+        run_s: Length of the measured interval in seconds.
         settle_s: Longest wait afterwards for requests in progress.
-        load_processes: Processes of the load generator.
-        fleet: The processes.
-        state: Sections of the desired state beside those the tool makes.
-        online: Requests of people who wait.
-        patterns: Further patterns of online arrivals by name, of which a run may choose one.
+        load_processes: Number of load generator processes.
+        fleet: Processes of each run.
+        state: Sections of the desired state that extend or replace the generated ones.
+        online: Interactive chat requests.
+        patterns: Alternative arrival patterns of the online requests by name.
         services: Calls of plain services.
-        batch: Batch work.
-        arms: What is compared; the first one is what the others are related to.
+        batch: Batch jobs.
+        arms: Variants to compare; the first arm is the baseline.
     """
 
     name: str = Field(pattern=r"^[a-z0-9-]+$")
@@ -141,12 +142,14 @@
     arms: tuple[Arm, ...] = Field(min_length=1, max_length=12)
 
     def with_pattern(self, name: str) -> Experiment:
-        """Return this experiment with another pattern of online arrivals.
+        """Return a copy of the experiment that uses a named arrival pattern for online requests.
 
         Raises:
-            ExperimentError: If the file has no pattern of this name.
+            ExperimentError: If the experiment has no pattern of this name.
         """
         if name not in self.patterns:
-            raise ExperimentError(f"no pattern {name!r}, only {sorted(self.patterns)}")
+            raise ExperimentError(
+                f"unknown arrival pattern {name!r}; the file has {sorted(self.patterns)}"
+            )
         online = self.online.model_copy(update={"arrivals": self.patterns[name]})
         return self.model_copy(update={"online": online, "name": f"{self.name}-{name}"})
--- a/packages/standins/src/carobspool_standins/_workload.py
+++ b/packages/standins/src/carobspool_standins/_workload.py
@@ -1,4 +1,4 @@
-"""The requests of an experiment, drawn with a seed before anything runs."""
+"""Requests of an experiment, all generated from a seed before the run starts."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Kind(StrEnum):
-    """What a planned request is."""
+    """Kind of a planned request."""
 
     CHAT = "chat"
     SERVICE = "service"
@@ -29,15 +29,15 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PlannedRequest:
-    """One request of the load.
+    """One request that the load generator sends.
 
     Attributes:
-        at: Seconds after the start of the load.
+        at: Send time in seconds after the start of the load.
         kind: Streamed chat completion or call of a plain service.
-        caller: Number of the caller.
-        path: Path of the call.
-        body: Body, empty for a plain service.
-        answer_tokens: Tokens asked for.
+        caller: Index of the caller.
+        path: Request path.
+        body: Request body; empty for a plain service.
+        answer_tokens: Number of answer tokens that the request asks for.
     """
 
     at: float
@@ -48,38 +48,38 @@
     answer_tokens: int = 0
 
 
-def draw_size(sizes: Sizes, source: random.Random) -> int:
-    """Draw one size in tokens."""
-    value = source.lognormvariate(math.log(sizes.median), sizes.sigma)
+def draw_size(sizes: Sizes, rng: random.Random) -> int:
+    """Draw a bounded log-normal size in tokens."""
+    value = rng.lognormvariate(math.log(sizes.median), sizes.sigma)
     return max(sizes.least, min(sizes.most, round(value)))
 
 
-def draw_text(tokens: int, source: random.Random) -> str:
-    """Draw a text of about so many tokens."""
-    return random_words(source, tokens * CHARS_PER_TOKEN)
+def draw_text(tokens: int, rng: random.Random) -> str:
+    """Draw a random text of about ``tokens`` tokens."""
+    return random_words(rng, tokens * CHARS_PER_TOKEN)
 
 
 def plan_requests(experiment: Experiment, arm: Arm, seed: int) -> list[PlannedRequest]:
     """Return the online requests and service calls of a run, in order of arrival.
 
-    The same seed gives the same requests in every arm that has the same load factor.
+    Arms of the same load factor get the same chat requests for the same seed.
     """
-    source = random.Random(seed)
+    rng = random.Random(seed)
     seconds = experiment.warm_up_s + experiment.run_s
-    planned = _chats(experiment, seconds, source, arm.load)
+    planned = _plan_chats(experiment, seconds, rng, arm.load)
     if experiment.services is not None and experiment.fleet.services and not arm.direct:
-        planned += _calls(experiment, seconds, source)
+        planned += _plan_service_calls(experiment, seconds, rng)
     return sorted(planned, key=lambda request: request.at)
 
 
 def batch_lines(load: BatchLoad, job: int, seed: int) -> bytes:
     """Return the JSONL input of one batch job."""
-    source = random.Random(f"{seed} batch {job}")
-    share = load.items // load.jobs
+    rng = random.Random(f"{seed} batch {job}")
+    items_per_job = load.items // load.jobs
     lines: list[str] = []
-    for number in range(share):
-        prompt = draw_text(draw_size(load.prompt, source), source)
-        body = chat_body(BATCH_MODEL, prompt, draw_size(load.answer, source))
+    for number in range(items_per_job):
+        prompt = draw_text(draw_size(load.prompt, rng), rng)
+        body = chat_body(BATCH_MODEL, prompt, draw_size(load.answer, rng))
         item = {
             "custom_id": f"item-{job}-{number}",
             "method": "POST",
@@ -91,7 +91,7 @@
 
 
 def chat_body(model: str, prompt: str, answer_tokens: int) -> dict[str, Any]:
-    """Return the body of a chat request whose answer has exactly so many tokens."""
+    """Return the body of a chat request whose answer has exactly ``answer_tokens`` tokens."""
     return {
         "model": model,
         "messages": [{"role": "user", "content": prompt}],
@@ -100,21 +100,21 @@
     }
 
 
-def _chats(
-    experiment: Experiment, seconds: float, source: random.Random, factor: float
+def _plan_chats(
+    experiment: Experiment, seconds: float, rng: random.Random, factor: float
 ) -> list[PlannedRequest]:
     load = experiment.online
     prefix = draw_text(load.shared_prefix_tokens, random.Random(0))
     planned: list[PlannedRequest] = []
-    for at in arrival_times(load.arrivals, seconds, source, factor=factor):
-        tokens = draw_size(load.answer, source)
-        prompt = prefix + draw_text(draw_size(load.prompt, source), source)
+    for at in arrival_times(load.arrivals, seconds, rng, factor=factor):
+        tokens = draw_size(load.answer, rng)
+        prompt = prefix + draw_text(draw_size(load.prompt, rng), rng)
         body = {**chat_body(ONLINE_MODEL, prompt, tokens), "stream": True}
         planned.append(
             PlannedRequest(
                 at=at,
                 kind=Kind.CHAT,
-                caller=_draw_caller(load.callers, load.hot_share, source),
+                caller=_draw_caller(load.callers, load.hot_share, rng),
                 path=CHAT_PATH,
                 body=json.dumps(body).encode(),
                 answer_tokens=tokens,
@@ -123,17 +123,19 @@
     return planned
 
 
-def _calls(experiment: Experiment, seconds: float, source: random.Random) -> list[PlannedRequest]:
+def _plan_service_calls(
+    experiment: Experiment, seconds: float, rng: random.Random
+) -> list[PlannedRequest]:
     assert experiment.services is not None
     planned: list[PlannedRequest] = []
-    for at in arrival_times(experiment.services.arrivals, seconds, source):
-        caller = source.randrange(experiment.online.callers)
-        path = f"/services/{SERVICE}/page/{source.randrange(1000)}"
+    for at in arrival_times(experiment.services.arrivals, seconds, rng):
+        caller = rng.randrange(experiment.online.callers)
+        path = f"/services/{SERVICE}/page/{rng.randrange(1000)}"
         planned.append(PlannedRequest(at=at, kind=Kind.SERVICE, caller=caller, path=path))
     return planned
 
 
-def _draw_caller(callers: int, hot_share: float, source: random.Random) -> int:
-    if hot_share > 0 and source.random() < hot_share:
+def _draw_caller(callers: int, hot_share: float, rng: random.Random) -> int:
+    if hot_share > 0 and rng.random() < hot_share:
         return 0
-    return source.randrange(callers)
+    return rng.randrange(callers)
--- a/packages/standins/tests/test_arrivals.py
+++ b/packages/standins/tests/test_arrivals.py
@@ -1,4 +1,4 @@
-"""Arrivals and sizes of an experiment's load."""
+"""Arrival times and request sizes of an experiment's load."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def experiment(**changes) -> Experiment:
-    """Return an experiment of one engine."""
+    """Return an experiment with one engine."""
     values = {
         "name": "trial",
         "seeds": (1,),
@@ -39,8 +39,8 @@
         (OnOff(kind="on_off", rate=20, on_s=3, off_s=9), 5.0, 5.0),
     ],
 )
-def test_rates(arrivals, early, late):
-    """The mean rate of each half of a long run is that of the pattern, within a tenth."""
+def test_mean_rate_follows_the_pattern(arrivals, early, late):
+    """The mean rate in each half of a long run is within 10 % of the pattern's rate."""
     times = arrival_times(arrivals, SECONDS, random.Random(3))
     half = SECONDS / 2
     assert sum(at < half for at in times) / half == pytest.approx(early, rel=0.1)
@@ -48,30 +48,30 @@
     assert times == sorted(times)
 
 
-def test_bursts_are_apart():
-    """Between bursts nothing arrives, and a factor scales the rate."""
+def test_no_arrivals_between_bursts():
+    """No request arrives between bursts, and the factor scales the rate."""
     arrivals = OnOff(kind="on_off", rate=20, on_s=3, off_s=9)
     times = arrival_times(arrivals, SECONDS, random.Random(3), factor=2.0)
     assert all(at % 12 < 3 for at in times)
     assert len(times) / SECONDS == pytest.approx(10, rel=0.1)
 
 
-def test_same_seed_same_load():
-    """Arms with the same seed get the same requests; another seed gives others."""
+def test_same_seed_gives_same_requests():
+    """The same seed gives the same requests, and another seed gives different requests."""
     one, again, other = (plan_requests(experiment(), Arm(name="a"), seed) for seed in (1, 1, 2))
     assert one == again != other
 
 
-def test_hot_caller():
-    """A hot caller sends its share of the requests."""
+def test_hot_caller_sends_its_share():
+    """The first caller sends its hot share and its part of the remaining requests."""
     load = OnlineLoad(arrivals=Steady(kind="steady", rate=50), callers=10, hot_share=0.5)
     planned = plan_requests(experiment(online=load), Arm(name="a"), 1)
     share = sum(request.caller == 0 for request in planned) / len(planned)
     assert share == pytest.approx(0.55, abs=0.06)
 
 
-def test_batch_input():
-    """A batch job's lines are valid items of the sizes asked for."""
+def test_batch_lines_are_valid_items_of_the_requested_sizes():
+    """The input of a batch job has valid items of the configured sizes."""
     lines = batch_lines(BatchLoad(items=6, jobs=2), 1, 1).decode().splitlines()
     items = [json.loads(line) for line in lines]
     assert len({item["custom_id"] for item in items}) == 3
@@ -85,7 +85,7 @@
 
 @pytest.mark.parametrize("path", FILES, ids=lambda path: path.stem)
 def test_checked_in_experiments_are_valid(path):
-    """Each experiment file is valid, also with each of its patterns, and has requests."""
+    """Each experiment file is valid and yields requests, also with each of its patterns."""
     whole = load_settings(path, Experiment)
     assert whole.name == path.stem
     variants = [whole, *(whole.with_pattern(name) for name in whole.patterns)]
