--- a/packages/standins/src/carobspool_standins/_cluster.py
+++ b/packages/standins/src/carobspool_standins/_cluster.py
@@ -1,6 +1,6 @@
-"""A whole small system as processes on loopback: platform, upstreams, sidecars and entries.
+"""Cluster of local processes: platform stand-ins, upstreams, sidecars and entries on loopback.
 
-The quickstart, the experiments and the tests of failures start their processes through it.
+The quickstart, the experiments and the fault tests start their processes with it.
 """
 
 from __future__ import annotations
@@ -25,24 +25,24 @@
 from carobspool_standins.errors import ClusterError
 from carobspool_standins.ports import LOOPBACK, PortChooser
 
-CLOSE_SECONDS = 10.0
-STOP_SECONDS = 60.0
-WAIT_SECONDS = 30.0
-POLL_SECONDS = 0.05
+CLOSE_TIMEOUT_S = 10.0
+STOP_TIMEOUT_S = 60.0
+WAIT_TIMEOUT_S = 30.0
+POLL_INTERVAL_S = 0.05
 NODE_MODULE = "carobspool_node"
-OBJECTS = "objects"
-HOSTS = "hosts"
-DEFAULT_DOMAIN = "leicester-hall"
+OBJECT_API_NAME = "objects"
+HOST_LIST_NAME = "hosts"
+DEFAULT_FAILURE_DOMAIN = "leicester-hall"
 
 
 class Cluster:
-    """Starts processes and ends them all when it is closed; use it in a ``with`` statement.
+    """Starts the processes of a system and ends all of them on close; a context manager.
 
-    Each ``start_…`` method takes further settings of the process as keywords and returns when the
-    process is ready, unless within `together`.
+    Each ``start_…`` method returns when its process is ready; within `together`, it returns at
+    once. Most of them pass further keyword arguments on as settings of the process.
 
     Args:
-        folder: Takes settings, keys and logs; made if missing.
+        folder: Directory for settings, keys and logs; created if missing.
     """
 
     def __init__(self, folder: Path) -> None:
@@ -52,19 +52,19 @@
         self._ports = PortChooser()
         self._members: dict[str, Member] = {}
         self._upstreams: dict[str, dict[str, Any]] = {}
-        self._starting: list[str] | None = None
+        self._awaiting_ready: list[str] | None = None
         self._operator_key = Key()
         keys = {"keys": {"k1": secrets.token_hex(32)}, "use": "k1"}
-        self._write("peer-keys.json", keys)
+        self._write_json("peer-keys.json", keys)
 
     @property
     def operator_key(self) -> Key:
-        """Key that applies the first configuration."""
+        """Operator key, with which the first configuration can be applied."""
         return self._operator_key
 
     @property
     def upstreams(self) -> list[dict[str, Any]]:
-        """The upstreams behind the sidecars started so far, as a desired state lists them."""
+        """Upstreams of the sidecars started so far, in the form of the desired state."""
         return [dict(upstream) for upstream in self._upstreams.values()]
 
     def __enter__(self) -> Cluster:
@@ -79,49 +79,51 @@
         self.close()
 
     def close(self) -> None:
-        """End all processes, by force those that take long."""
-        # The system ends before what it stands on, so that its shutdown is an ordinary one.
-        system = [name for name in self._group.names if self._group.module(name) == NODE_MODULE]
-        self._group.close(system, CLOSE_SECONDS)
-        self._group.close(self._group.names, CLOSE_SECONDS)
+        """Terminate all processes and kill those that do not end in time."""
+        # Nodes end before the stand-ins that they depend on, so that their shutdown is an ordinary
+        # one.
+        nodes = [name for name in self._group.names if self._group.module(name) == NODE_MODULE]
+        self._group.close(nodes, CLOSE_TIMEOUT_S)
+        self._group.close(self._group.names, CLOSE_TIMEOUT_S)
         self._ports.close()
 
     @contextlib.contextmanager
     def together(self) -> Iterator[None]:
-        """Start processes side by side and wait for all at the end of the block."""
-        self._starting = []
+        """Start processes concurrently and wait at the end of the block until all are ready."""
+        self._awaiting_ready = []
         try:
             yield
-            self._group.wait_ready(self._starting)
+            self._group.wait_ready(self._awaiting_ready)
         finally:
-            self._starting = None
+            self._awaiting_ready = None
 
     def start_standin(self, kind: str, name: str, **settings: Any) -> Member:
-        """Start a stand-in.
+        """Start a stand-in process.
 
         Args:
-            kind: Its module: ``objects``, ``hosts``, ``weights``, ``engine``, ``plain``.
-            name: Name in this cluster.
-            settings: Settings beside the port.
+            kind: Module of the stand-in, such as ``objects``, ``hosts``, ``weights``, ``engine`` or
+                ``plain``.
+            name: Name of the process in this cluster.
+            settings: Settings of the stand-in except the port.
         """
         port = self._ports.choose()
         return self._start(name, f"carobspool_standins.{kind}", {"port": port, **settings}, port)
 
     def start_objects(self, **settings: Any) -> Member:
-        """Start the object API."""
-        return self.start_standin("objects", OBJECTS, **settings)
+        """Start the stand-in of the object API."""
+        return self.start_standin("objects", OBJECT_API_NAME, **settings)
 
     def start_hosts(self, **settings: Any) -> Member:
-        """Start the host list."""
-        return self.start_standin("hosts", HOSTS, **settings)
+        """Start the stand-in of the host list."""
+        return self.start_standin("hosts", HOST_LIST_NAME, **settings)
 
     def start_engine(self, name: str, *, models: list[str], **settings: Any) -> Member:
-        """Start an engine with models ready."""
+        """Start a model engine with the models already loaded."""
         loaded = [{"name": model} for model in models]
         return self.start_standin("engine", name, models=loaded, **settings)
 
     def start_plain(self, name: str, *, service: str, **settings: Any) -> Member:
-        """Start a plain service."""
+        """Start a plain HTTP service."""
         return self.start_standin("plain", name, service=service, **settings)
 
     def start_sidecar(
@@ -131,19 +133,19 @@
         *,
         models: list[str] | None = None,
         service: str | None = None,
-        failure_domain: str = DEFAULT_DOMAIN,
+        failure_domain: str = DEFAULT_FAILURE_DOMAIN,
         declared: Mapping[str, Any] | None = None,
         **settings: Any,
     ) -> Member:
-        """Start the sidecar of an upstream, whose name is that of its host.
+        """Start the sidecar of an upstream; the upstream's name serves as its host name.
 
         Args:
-            name: Node name.
-            upstream: The engine or plain service.
-            models: Models that the desired state shall declare there.
-            service: Name of the plain service, for one.
-            failure_domain: Where both stand.
-            declared: Further entries of the upstream in the desired state.
+            name: Node name of the sidecar.
+            upstream: Process of the engine or plain service.
+            models: Models that `upstreams` lists for this upstream.
+            service: Name of the plain service; ``None`` for an engine.
+            failure_domain: Failure domain of the sidecar and its upstream.
+            declared: Further fields of the upstream in `upstreams`.
             settings: Further settings of the sidecar.
         """
         port = self._ports.choose()
@@ -156,7 +158,7 @@
             "listen": {"address": LOOPBACK, "port": port},
             "upstream": upstream.url,
             "kind": kind,
-            **self._common(),
+            **self._common_node_settings(),
         }
         if service is not None:
             values["service"] = service
@@ -173,9 +175,9 @@
         return member
 
     def start_entry(
-        self, name: str, *, failure_domain: str = DEFAULT_DOMAIN, **settings: Any
+        self, name: str, *, failure_domain: str = DEFAULT_FAILURE_DOMAIN, **settings: Any
     ) -> Member:
-        """Start an entry."""
+        """Start an entry process."""
         port = self._ports.choose()
         values = {
             "role": "entry",
@@ -184,17 +186,19 @@
             "http": {"address": LOOPBACK, "port": port},
             "peer": {"address": LOOPBACK, "port": self._ports.choose()},
             "first_operator_key_hash": self._operator_key.hash,
-            **self._common(),
+            **self._common_node_settings(),
         }
-        if HOSTS in self._members:
-            values["host_list"] = self._members[HOSTS].url
+        if HOST_LIST_NAME in self._members:
+            values["host_list"] = self._members[HOST_LIST_NAME].url
         return self._start(name, NODE_MODULE, values | settings, port)
 
     def start_relay(self, name: str, *, delay_ms: float) -> Member:
-        """Put a relay before all sidecars started so far; later configurations name its ports.
+        """Start a relay in front of all sidecars started so far.
+
+        From then on `upstreams` lists the ports of the relay as the sidecars' addresses.
 
         Args:
-            name: Name in this cluster.
+            name: Name of the relay in this cluster.
             delay_ms: One-way delay.
         """
         routes: list[dict[str, int]] = []
@@ -204,8 +208,8 @@
             upstream["address"] = f"{LOOPBACK}:{port}"
         return self.start_standin("relay", name, delay_ms=delay_ms, routes=routes)
 
-    def processor_seconds(self) -> dict[str, float]:
-        """Return the processor time that each running process has used so far."""
+    def cpu_seconds(self) -> dict[str, float]:
+        """Return the CPU time in seconds that each running process has used so far, by name."""
         return {
             name: process_seconds(self._group.pid(name))
             for name in self._members
@@ -213,7 +217,7 @@
         }
 
     def operator_caller(self, organisation: str) -> dict[str, Any]:
-        """Return the operator as a desired state lists it: the key goes on being good by it."""
+        """Return the desired state's entry of the operator, which keeps the operator key valid."""
         return {
             "id": "operator",
             "organisation": organisation,
@@ -222,65 +226,65 @@
         }
 
     def member(self, name: str) -> Member:
-        """Return a process by its name."""
+        """Return the process of this name."""
         return self._members[name]
 
     def client(self, name: str, key: Key | None = None, *, timeout_ms: int = 30_000) -> HttpClient:
-        """Return a client of a process with an HTTP interface."""
+        """Return a new HTTP client of a process."""
         value = key.value if key is not None else None
         return HttpClient(self._members[name].url, key=value, timeout_ms=timeout_ms)
 
     def kill(self, name: str) -> None:
-        """End a process at once (SIGKILL)."""
+        """Kill a process (SIGKILL) and wait until it has ended."""
         self._group.send(name, signal.SIGKILL)
-        self._group.wait(name, STOP_SECONDS)
+        self._group.wait(name, STOP_TIMEOUT_S)
 
     def freeze(self, name: str) -> None:
-        """Halt a process without ending it (SIGSTOP)."""
+        """Suspend a process (SIGSTOP)."""
         self._group.send(name, signal.SIGSTOP)
 
     def thaw(self, name: str) -> None:
-        """Let a frozen process go on."""
+        """Resume a suspended process (SIGCONT)."""
         self._group.send(name, signal.SIGCONT)
 
     def terminate(self, name: str) -> None:
-        """Ask a process to end (SIGTERM) and return at once."""
+        """Send SIGTERM to a process and return at once."""
         self._group.send(name, signal.SIGTERM)
 
-    def stop(self, name: str, seconds: float = STOP_SECONDS) -> int:
-        """Ask a process to end, wait for it and return its exit code."""
+    def stop(self, name: str, seconds: float = STOP_TIMEOUT_S) -> int:
+        """Send SIGTERM to a process, wait until it ends and return its exit code."""
         self.terminate(name)
         return self._group.wait(name, seconds)
 
     def restart(self, name: str) -> None:
-        """Start a process that has ended again, with the same settings and port."""
+        """Start an ended process again with the same settings and port, and wait until ready."""
         self._group.restart(name)
         self._group.wait_ready([name])
 
     def is_running(self, name: str) -> bool:
-        """Whether a process has not ended."""
+        """Return whether a process has not ended."""
         return self._group.is_running(name)
 
     def pid(self, name: str) -> int:
-        """Return the id of a process."""
+        """Return the process id."""
         return self._group.pid(name)
 
     def log(self, name: str) -> str:
-        """Return the log of a process."""
+        """Return the whole log of a process, across all its starts."""
         return self._group.log(name)
 
     def faults(self, name: str, **faults: Any) -> None:
-        """Switch faults of a stand-in; without any, return to none.
+        """Set the faults that a stand-in injects; without arguments, clear all of them.
 
         Raises:
-            ClusterError: If the stand-in refuses them.
+            ClusterError: If the stand-in rejects the faults.
         """
         client = self.client(name)
         path = "/faults" if faults else "/faults/reset"
         reply = client.call("POST", path, json_body=faults)
         client.close()
         if reply.status != 200:
-            raise ClusterError(f"{name} refuses the faults: {reply.text}")
+            raise ClusterError(f"{name} rejected the faults: {reply.text}")
 
     def apply(
         self,
@@ -294,23 +298,23 @@
         """Apply a desired state through an entry and return its revision.
 
         Raises:
-            ClusterError: If the entry refuses it.
+            ClusterError: If the entry rejects the desired state.
         """
         client = self.client(entry, key or self._operator_key)
         body = {"base": base, "state": state, "reason": reason}
         reply = client.call("POST", "/operator/config", json_body=body)
         client.close()
         if reply.status != 200:
-            raise ClusterError(f"{entry} refuses the configuration: {reply.text}")
+            raise ClusterError(f"{entry} rejected the configuration: {reply.text}")
         return int(reply.json["revision"])
 
     def wait_until(
-        self, what: str, condition: Callable[[], bool], seconds: float = WAIT_SECONDS
+        self, what: str, condition: Callable[[], bool], seconds: float = WAIT_TIMEOUT_S
     ) -> None:
-        """Wait until a condition holds; a call without an answer counts as not yet.
+        """Poll until a condition holds; `NoAnswer` from the condition counts as false.
 
         Raises:
-            ClusterError: If it does not hold in time.
+            ClusterError: If the condition does not hold in time.
         """
         deadline = time.monotonic() + seconds
         while True:
@@ -318,14 +322,14 @@
                 if condition():
                     return
             if time.monotonic() > deadline:
-                raise ClusterError(f"not within {seconds} s: {what}")
-            time.sleep(POLL_SECONDS)
+                raise ClusterError(f"timed out after {seconds} s waiting until: {what}")
+            time.sleep(POLL_INTERVAL_S)
 
-    def _common(self) -> dict[str, Any]:
-        return {"object_api": self._members[OBJECTS].url, "peer_keys": "peer-keys.json"}
+    def _common_node_settings(self) -> dict[str, Any]:
+        return {"object_api": self._members[OBJECT_API_NAME].url, "peer_keys": "peer-keys.json"}
 
     def _start(self, name: str, module: str, settings: Mapping[str, Any], port: int) -> Member:
-        path = self._write(f"{name}.json", settings)
+        path = self._write_json(f"{name}.json", settings)
         arguments = [str(path)]
         if module == NODE_MODULE:
             arguments.insert(0, "run")
@@ -333,13 +337,13 @@
         self._group.start(name, Command(module=module, arguments=arguments, log=log))
         member = Member(name=name, port=port)
         self._members[name] = member
-        if self._starting is None:
+        if self._awaiting_ready is None:
             self._group.wait_ready([name])
         else:
-            self._starting.append(name)
+            self._awaiting_ready.append(name)
         return member
 
-    def _write(self, name: str, value: Mapping[str, Any]) -> Path:
+    def _write_json(self, name: str, value: Mapping[str, Any]) -> Path:
         path = self._folder / name
         path.touch(mode=0o600)
         path.write_text(json.dumps(value, indent=2), encoding="utf-8")
--- a/packages/standins/src/carobspool_standins/_experiment_report.py
+++ b/packages/standins/src/carobspool_standins/_experiment_report.py
@@ -1,4 +1,4 @@
-"""Figures of an experiment: JSON for machines, a plot and a table for people."""
+"""Report of an experiment: figures as JSON, a plot and a Markdown table."""
 
 from __future__ import annotations
 
@@ -13,54 +13,58 @@
 from carobspool_standins._load_result import Measure, jain_index
 
 RATIO_MEASURES = (Measure.FIRST_TOKEN, Measure.BETWEEN_TOKENS)
-STRAIGHT = "straight"
+STRAIGHT_MODE = "straight"
 
 
 def run_figures(result: RunResult) -> dict[str, Any]:
-    """Return the figures of one run."""
+    """Return the figures of one run as they stand in the JSON report."""
     load = result.load
     whole = load.endings.get("chat whole", 0)
-    got = sum(tokens.got for tokens in load.callers.values())
-    shares = [tokens.got / tokens.asked for tokens in load.callers.values() if tokens.asked]
+    delivered = sum(tokens.delivered for tokens in load.callers.values())
+    shares = [
+        tokens.delivered / tokens.requested for tokens in load.callers.values() if tokens.requested
+    ]
     return {
         "arm": result.arm,
         "seed": result.seed,
         "sent": load.sent,
         "endings": dict(sorted(load.endings.items())),
-        "refusals_with_return": load.refusals_with_return,
+        "refusals_with_return": load.refusals_with_retry_after,
         "goodput_requests_per_s": whole / result.seconds,
-        "goodput_tokens_per_s": got / result.seconds,
+        "goodput_tokens_per_s": delivered / result.seconds,
         "jain_fairness": jain_index(shares),
         "batch_items_per_s": result.batch.finished / result.seconds,
         "batch_tokens_per_s": result.batch.tokens / result.seconds,
         "batch_cancelled": result.batch.cancelled,
         "batch_lost_tokens": result.batch.lost_tokens,
         "processor_share": {
-            name: seconds / result.seconds for name, seconds in result.processor_s.items()
+            name: seconds / result.seconds for name, seconds in result.cpu_s.items()
         },
         **{f"{measure}_ms": load.quantiles_ms(measure) for measure in Measure},
     }
 
 
 def summarise(experiment: Experiment, runs: Sequence[Mapping[str, Any]]) -> dict[str, Any]:
-    """Return the figures of each arm over all seeds, related to the first arm.
+    """Return the figures of each arm over all seeds and their ratios to the first arm.
 
-    Ratios are taken within a seed, so that both sides had the same requests.
+    Ratios compare runs of the same seed, which have the same requests.
     """
-    base = {run["seed"]: run for run in runs if run["arm"] == experiment.arms[0].name}
-    straight = {
+    baseline = {run["seed"]: run for run in runs if run["arm"] == experiment.arms[0].name}
+    straight_rates = {
         run["seed"]: run["batch_items_per_s"]
         for run in runs
-        if _mode(experiment, run["arm"]) == STRAIGHT
+        if _batch_admission_mode(experiment, run["arm"]) == STRAIGHT_MODE
     }
     return {
-        arm.name: _arm_figures([run for run in runs if run["arm"] == arm.name], base, straight)
+        arm.name: _arm_figures(
+            [run for run in runs if run["arm"] == arm.name], baseline, straight_rates
+        )
         for arm in experiment.arms
     }
 
 
 def write_report(experiment: Experiment, runs: Sequence[Mapping[str, Any]], folder: Path) -> Path:
-    """Write the results as JSON and as a plot; return the path of the JSON file."""
+    """Write the results as a JSON file and a plot, and return the path of the JSON file."""
     folder.mkdir(parents=True, exist_ok=True)
     summary = summarise(experiment, runs)
     value = {
@@ -74,8 +78,8 @@
     return path
 
 
-def table(summary: Mapping[str, Any]) -> str:
-    """Return the summary as a table in Markdown, medians over the seeds."""
+def markdown_table(summary: Mapping[str, Any]) -> str:
+    """Return the summary as a Markdown table with medians over the seeds."""
     lines = [
         "| arm | batch items/s | share of straight | first token p50 / p95 / p99 ms | p95 ratio "
         "| between tokens p50 / p95 / p99 ms | p95 ratio | goodput /s | Jain | refused or broken |",
@@ -85,11 +89,11 @@
         cells = [
             name,
             f"{arm['batch_items_per_s']['median']:.2f}",
-            _number(arm["batch_share_of_straight"]),
-            _quantiles(arm["first_token_ms"]),
-            _number(arm["first_token_p95_ratio"]),
-            _quantiles(arm["between_tokens_ms"]),
-            _number(arm["between_tokens_p95_ratio"]),
+            _format_spread(arm["batch_share_of_straight"]),
+            _format_quantiles(arm["first_token_ms"]),
+            _format_spread(arm["first_token_p95_ratio"]),
+            _format_quantiles(arm["between_tokens_ms"]),
+            _format_spread(arm["between_tokens_p95_ratio"]),
             f"{arm['goodput_requests_per_s']['median']:.2f}",
             f"{arm['jain_fairness']['median']:.3f}",
             f"{arm['not_whole']}",
@@ -98,7 +102,7 @@
     return "\n".join(lines)
 
 
-def _mode(experiment: Experiment, name: str) -> str | None:
+def _batch_admission_mode(experiment: Experiment, name: str) -> str | None:
     for arm in experiment.arms:
         if arm.name == name and arm.batch and not arm.direct:
             return str(arm.admission.get("mode"))
@@ -107,8 +111,8 @@
 
 def _arm_figures(
     runs: Sequence[Mapping[str, Any]],
-    base: Mapping[int, Mapping[str, Any]],
-    straight: Mapping[int, float],
+    baseline: Mapping[int, Mapping[str, Any]],
+    straight_rates: Mapping[int, float],
 ) -> dict[str, Any]:
     figures: dict[str, Any] = {"seeds": [run["seed"] for run in runs]}
     for name in (
@@ -122,9 +126,9 @@
         figures[name] = _spread([run[name] for run in runs])
     figures["batch_share_of_straight"] = _spread(
         [
-            run["batch_items_per_s"] / straight[run["seed"]]
+            run["batch_items_per_s"] / straight_rates[run["seed"]]
             for run in runs
-            if straight.get(run["seed"])
+            if straight_rates.get(run["seed"])
         ]
     )
     for measure in Measure:
@@ -136,27 +140,29 @@
         }
     for measure in RATIO_MEASURES:
         for quantile in ("p50", "p95", "p99"):
-            figures[f"{measure}_{quantile}_ratio"] = _spread(_ratios(runs, base, measure, quantile))
-    figures["not_whole"] = _not_whole(runs)
+            figures[f"{measure}_{quantile}_ratio"] = _spread(
+                _ratios(runs, baseline, measure, quantile)
+            )
+    figures["not_whole"] = _count_incomplete(runs)
     return figures
 
 
 def _ratios(
     runs: Sequence[Mapping[str, Any]],
-    base: Mapping[int, Mapping[str, Any]],
+    baseline: Mapping[int, Mapping[str, Any]],
     measure: Measure,
     quantile: str,
 ) -> list[float]:
-    found: list[float] = []
+    ratios: list[float] = []
     for run in runs:
-        reference = base.get(run["seed"], {}).get(f"{measure}_ms", {}).get(quantile)
+        reference = baseline.get(run["seed"], {}).get(f"{measure}_ms", {}).get(quantile)
         value = run[f"{measure}_ms"].get(quantile)
         if reference and value is not None:
-            found.append(value / reference)
-    return found
+            ratios.append(value / reference)
+    return ratios
 
 
-def _not_whole(runs: Sequence[Mapping[str, Any]]) -> dict[str, int]:
+def _count_incomplete(runs: Sequence[Mapping[str, Any]]) -> dict[str, int]:
     total: dict[str, int] = {}
     for run in runs:
         for ending, count in run["endings"].items():
@@ -176,20 +182,20 @@
     }
 
 
-def _number(spread: Mapping[str, float]) -> str:
+def _format_spread(spread: Mapping[str, float]) -> str:
     if not spread:
         return "–"
     return f"{spread['median']:.2f} ({spread['least']:.2f}–{spread['most']:.2f})"
 
 
-def _quantiles(quantiles: Mapping[str, Mapping[str, float]]) -> str:
+def _format_quantiles(quantiles: Mapping[str, Mapping[str, float]]) -> str:
     if not quantiles:
         return "–"
     return " / ".join(f"{quantiles[name]['median']:.1f}" for name in ("p50", "p95", "p99"))
 
 
 def _plot(name: str, summary: Mapping[str, Any], path: Path) -> None:
-    # Imported here: it takes longer to load than some whole tools of this package.
+    # Imported on use, because the import takes longer than some tools of this package run.
     import matplotlib
 
     matplotlib.use("Agg")
@@ -207,10 +213,10 @@
             summary[arm][key].get("p95", {}) if key.endswith("_ms") else summary[arm][key]
             for arm in arms
         ]
-        middles = [spread.get("median", 0.0) for spread in spreads]
-        below = [m - s.get("least", m) for m, s in zip(middles, spreads, strict=True)]
-        above = [s.get("most", m) - m for m, s in zip(middles, spreads, strict=True)]
-        axis.barh(arms, middles, xerr=[below, above], capsize=3)
+        medians = [spread.get("median", 0.0) for spread in spreads]
+        below = [m - s.get("least", m) for m, s in zip(medians, spreads, strict=True)]
+        above = [s.get("most", m) - m for m, s in zip(medians, spreads, strict=True)]
+        axis.barh(arms, medians, xerr=[below, above], capsize=3)
         axis.invert_yaxis()
         axis.set_title(title)
         if key == "first_token_ms":
--- a/packages/standins/src/carobspool_standins/_experiment_run.py
+++ b/packages/standins/src/carobspool_standins/_experiment_run.py
@@ -1,4 +1,4 @@
-"""One run of one arm with one seed: start the fleet, load it, count what was done."""
+"""One run of an experiment: start the fleet, generate the load and collect the measurements."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 from carobspool_standins._cluster import Cluster
 from carobspool_standins._experiment_settings import Arm, Experiment, Fleet
-from carobspool_standins._load_result import LoadSummary, add_up
+from carobspool_standins._load_result import LoadSummary, merge_results
 from carobspool_standins._load_worker import LoadPlan, run_load
 from carobspool_standins._member import Key, Member
 from carobspool_standins._openai_calls import create_batch, upload
@@ -28,12 +28,19 @@
 
 ORGANISATION = "site"
 BATCH_ORGANISATION = "site-batch"
-START_MARGIN_S = 1.0
+START_DELAY_S = 1.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Work:
-    """What the engines did for one model in the counted time."""
+class ModelWork:
+    """Runs of one model on all engines that ended in the measured interval.
+
+    Attributes:
+        finished: Number of runs that finished.
+        tokens: Tokens of the finished runs.
+        cancelled: Number of runs that ended otherwise.
+        lost_tokens: Tokens of those runs that no later run resumed.
+    """
 
     finished: int
     tokens: int
@@ -43,20 +50,30 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RunResult:
-    """All measurements of one run."""
+    """All measurements of one run.
+
+    Attributes:
+        arm: Name of the arm.
+        seed: Seed of the run.
+        seconds: Length of the measured interval.
+        load: Measurements of the load generator.
+        batch: Work of the engines for the batch model.
+        online: Work of the engines for the online model.
+        cpu_s: CPU seconds of each process in the measured interval, by process name.
+    """
 
     arm: str
     seed: int
     seconds: float
     load: LoadSummary
-    batch: Work
-    online: Work
-    processor_s: Mapping[str, float]
+    batch: ModelWork
+    online: ModelWork
+    cpu_s: Mapping[str, float]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class _Running:
-    """The processes of a run and the keys of its callers."""
+class _RunningFleet:
+    """Processes of a run and the keys of its callers."""
 
     cluster: Cluster
     engines: Sequence[Member]
@@ -66,20 +83,21 @@
 
 
 def run_once(experiment: Experiment, arm: Arm, seed: int) -> RunResult:
-    """Run one arm with one seed on a fleet of its own.
+    """Run one arm with one seed on a newly started fleet.
 
     Raises:
-        ClusterError: If the fleet does not come up.
+        ClusterError: If the fleet does not become ready.
+        ExperimentError: If the run has no online requests.
     """
     with (
         tempfile.TemporaryDirectory(prefix="carobspool-") as folder,
         Cluster(Path(folder)) as cluster,
     ):
-        running = _start(cluster, experiment, arm)
+        running = _start_fleet(cluster, experiment, arm)
         return _measure(running, experiment, arm, seed)
 
 
-def _start(cluster: Cluster, experiment: Experiment, arm: Arm) -> _Running:
+def _start_fleet(cluster: Cluster, experiment: Experiment, arm: Arm) -> _RunningFleet:
     fleet = experiment.fleet
     models = [ONLINE_MODEL, BATCH_MODEL]
     work_ms = experiment.services.work_ms if experiment.services is not None else 0.0
@@ -89,15 +107,15 @@
             cluster.start_engine(f"engine-{number}", models=models, **fleet.engine)
             for number in range(fleet.engines)
         ]
-        plains = [
+        plain_services = [
             cluster.start_plain(f"service-{number}", service=SERVICE, work_ms=work_ms)
             for number in range(fleet.services)
         ]
     entries: list[Member] = []
     if not arm.direct:
-        _start_sidecars(cluster, engines, plains, fleet, arm)
+        _start_sidecars(cluster, engines, plain_services, fleet, arm)
         entries = _start_entries(cluster, fleet)
-    running = _Running(
+    running = _RunningFleet(
         cluster=cluster,
         engines=engines,
         entries=entries,
@@ -112,20 +130,20 @@
 def _start_sidecars(
     cluster: Cluster,
     engines: Sequence[Member],
-    plains: Sequence[Member],
+    plain_services: Sequence[Member],
     fleet: Fleet,
     arm: Arm,
 ) -> None:
     slots = int(fleet.engine.get("slots", 32))
     with cluster.together():
-        for number, upstream in enumerate([*engines, *plains]):
+        for number, upstream in enumerate([*engines, *plain_services]):
             is_engine = number < len(engines)
             cluster.start_sidecar(
                 f"sidecar-{number}",
                 upstream,
                 models=[ONLINE_MODEL, BATCH_MODEL] if is_engine else None,
                 service=None if is_engine else SERVICE,
-                failure_domain=_domain(fleet, number),
+                failure_domain=_failure_domain(fleet, number),
                 declared={"slots": slots} if is_engine else None,
                 admission=arm.admission,
                 log_level="warning",
@@ -138,17 +156,19 @@
     with cluster.together():
         return [
             cluster.start_entry(
-                f"entry-{number}", failure_domain=_domain(fleet, number), log_level="warning"
+                f"entry-{number}",
+                failure_domain=_failure_domain(fleet, number),
+                log_level="warning",
             )
             for number in range(fleet.entries)
         ]
 
 
-def _domain(fleet: Fleet, number: int) -> str:
+def _failure_domain(fleet: Fleet, number: int) -> str:
     return fleet.failure_domains[number % len(fleet.failure_domains)]
 
 
-def _configure(running: _Running, experiment: Experiment, arm: Arm) -> None:
+def _configure(running: _RunningFleet, experiment: Experiment, arm: Arm) -> None:
     cluster = running.cluster
     callers = [
         {"id": f"caller-{number}", "organisation": ORGANISATION, "key_hashes": [key.hash]}
@@ -183,20 +203,20 @@
         )
 
 
-def _measure(running: _Running, experiment: Experiment, arm: Arm, seed: int) -> RunResult:
+def _measure(running: _RunningFleet, experiment: Experiment, arm: Arm, seed: int) -> RunResult:
     requests = plan_requests(experiment, arm, seed)
     if not requests:
-        raise ExperimentError("no request arrives in the whole run")
+        raise ExperimentError("the arrival pattern yields no request within the run")
     _submit_batches(running, experiment, arm, seed)
     targets = [member.url for member in (running.entries or running.engines)]
-    start_at = time.monotonic() + START_MARGIN_S + 0.5 * experiment.load_processes
+    start_at = time.monotonic() + START_DELAY_S + 0.5 * experiment.load_processes
     plans = [
         LoadPlan(
             requests=requests[number :: experiment.load_processes],
             targets=targets,
             keys=[key.value for key in running.callers],
             start_at=start_at,
-            count_from=experiment.warm_up_s,
+            count_from_s=experiment.warm_up_s,
             settle_s=experiment.settle_s,
             timeout_ms=experiment.online.timeout_ms,
         )
@@ -207,20 +227,20 @@
         pending = [pool.submit(run_load, plan) for plan in plans]
         _sleep_until(start_at + experiment.warm_up_s)
         since = time.time() * 1000.0
-        before = running.cluster.processor_seconds()
+        before = running.cluster.cpu_seconds()
         _sleep_until(start_at + experiment.warm_up_s + experiment.run_s)
         until = time.time() * 1000.0
-        after = running.cluster.processor_seconds()
-        load = add_up(future.result() for future in pending)
+        after = running.cluster.cpu_seconds()
+        load = merge_results(future.result() for future in pending)
     runs = _engine_runs(running)
     return RunResult(
         arm=arm.name,
         seed=seed,
         seconds=experiment.run_s,
         load=load,
-        batch=_work(runs, BATCH_MODEL, since, until),
-        online=_work(runs, ONLINE_MODEL, since, until),
-        processor_s={name: after[name] - before[name] for name in after},
+        batch=_sum_engine_work(runs, BATCH_MODEL, since, until),
+        online=_sum_engine_work(runs, ONLINE_MODEL, since, until),
+        cpu_s={name: after[name] - before[name] for name in after},
     )
 
 
@@ -228,7 +248,7 @@
     time.sleep(max(0.0, instant - time.monotonic()))
 
 
-def _submit_batches(running: _Running, experiment: Experiment, arm: Arm, seed: int) -> None:
+def _submit_batches(running: _RunningFleet, experiment: Experiment, arm: Arm, seed: int) -> None:
     load = experiment.batch
     if not arm.batch or arm.direct or load is None:
         return
@@ -238,17 +258,19 @@
         create_batch(client, upload(client, f"job-{job}.jsonl", batch_lines(load, job, seed)))
 
 
-def _engine_runs(running: _Running) -> list[dict[str, Any]]:
-    found: list[dict[str, Any]] = []
+def _engine_runs(running: _RunningFleet) -> list[dict[str, Any]]:
+    runs: list[dict[str, Any]] = []
     for engine in running.engines:
-        found += running.cluster.client(engine.name).call("GET", "/record").json["runs"]
-    return found
+        runs += running.cluster.client(engine.name).call("GET", "/record").json["runs"]
+    return runs
 
 
-def _work(runs: Sequence[Mapping[str, Any]], model: str, since: float, until: float) -> Work:
-    """Add up the runs of a model that ended in the counted time.
+def _sum_engine_work(
+    runs: Sequence[Mapping[str, Any]], model: str, since: float, until: float
+) -> ModelWork:
+    """Sum the runs of a model that ended in the measured interval.
 
-    Tokens of a cancelled run are lost unless a later run of the same stream resumed it.
+    The tokens of a cancelled run are lost unless a later run of the same stream resumed it.
     """
     resumed = {run["id"] for run in runs if run["resumed"]}
     finished = tokens = cancelled = lost = 0
@@ -262,4 +284,4 @@
         cancelled += 1
         if run["id"] not in resumed:
             lost += run["tokens"]
-    return Work(finished=finished, tokens=tokens, cancelled=cancelled, lost_tokens=lost)
+    return ModelWork(finished=finished, tokens=tokens, cancelled=cancelled, lost_tokens=lost)
--- a/packages/standins/src/carobspool_standins/experiment.py
+++ b/packages/standins/src/carobspool_standins/experiment.py
@@ -1,7 +1,7 @@
 """Load experiments on real processes: ``python -m carobspool_standins.experiment FILE``.
 
-The file (JSON with comments) describes a fleet, a load and the arms that are compared. Each arm
-runs once with each seed, on processes of its own, on loopback only.
+The file (JSON with comments) describes a fleet, a load and the arms to compare. Each arm runs once
+per seed, on newly started processes on loopback.
 """
 
 from __future__ import annotations
@@ -14,7 +14,12 @@
 from types import FrameType
 from typing import Any, NoReturn
 
-from carobspool_standins._experiment_report import run_figures, summarise, table, write_report
+from carobspool_standins._experiment_report import (
+    markdown_table,
+    run_figures,
+    summarise,
+    write_report,
+)
 from carobspool_standins._experiment_run import run_once
 from carobspool_standins._experiment_settings import Experiment
 from carobspool_standins._settings import load_settings
@@ -28,8 +33,8 @@
     """Run every arm with every seed.
 
     Args:
-        experiment: What to run.
-        runs: Takes the figures of each run as soon as it has ended.
+        experiment: Experiment to run.
+        runs: List to which the figures of each run are appended as soon as the run has ended.
 
     Raises:
         StandinError: If a run fails.
@@ -48,12 +53,14 @@
 
 
 def main() -> int:
-    """Run the experiment that the command line names and return the exit code."""
+    """Run the experiment named on the command line and return the exit code."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("file", type=Path, help="experiment file (JSON with comments)")
     parser.add_argument("--results", type=Path, default=Path("var/experiments"))
-    parser.add_argument("--seeds", type=int, nargs="+", help="in place of those of the file")
-    parser.add_argument("--pattern", help="a pattern of arrivals that the file names")
+    parser.add_argument(
+        "--seeds", type=int, nargs="+", help="seeds to use instead of those in the file"
+    )
+    parser.add_argument("--pattern", help="name of an arrival pattern in the file")
     options = parser.parse_args()
     signal.signal(signal.SIGTERM, _terminated)
     try:
@@ -75,7 +82,7 @@
         code = 1
     if runs:
         path = write_report(experiment, runs, options.results)
-        print(table(summarise(experiment, runs)))
+        print(markdown_table(summarise(experiment, runs)))
         print(f"results: {path}")
     return code
 
--- a/packages/standins/tests/test_cluster.py
+++ b/packages/standins/tests/test_cluster.py
@@ -1,4 +1,4 @@
-"""The launcher of process clusters, with stand-ins only."""
+"""Cluster of processes, with stand-ins only."""
 
 from __future__ import annotations
 
@@ -12,7 +12,10 @@
 
 
 def test_processes_are_controlled_and_all_end(tmp_path):
-    """Processes start side by side, take faults, are killed and restarted, and end on close."""
+    """Processes start concurrently, accept faults, can be killed, restarted and suspended.
+
+    After close no process is left, not even a suspended one.
+    """
     with Cluster(tmp_path) as cluster:
         with cluster.together():
             cluster.start_objects()
@@ -40,6 +43,6 @@
 
 
 def test_failed_start_quotes_the_log(tmp_path):
-    """A process that ends at its start is an error that tells why."""
+    """If a process ends during startup, the error quotes its log."""
     with Cluster(tmp_path) as cluster, pytest.raises(ClusterError, match="not valid"):
         cluster.start_standin("plain", "up-1", portt=1)
--- a/packages/standins/tests/test_load_worker.py
+++ b/packages/standins/tests/test_load_worker.py
@@ -1,4 +1,4 @@
-"""The load generator against an engine, and how measurements add up."""
+"""Load generator against an engine, and merging of its measurements."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import pytest
 
 from carobspool_standins._engine_settings import EngineSettings, LoadedModel
-from carobspool_standins._load_result import LoadResult, Measure, add_up, jain_index
+from carobspool_standins._load_result import LoadResult, Measure, jain_index, merge_results
 from carobspool_standins._load_worker import LoadPlan, run_load
 from carobspool_standins._workload import Kind, PlannedRequest, chat_body
 from carobspool_standins.engine import make_application
@@ -18,7 +18,7 @@
 
 @pytest.fixture
 def engine(serve):
-    """Return a client of an engine with steps of 10 ms."""
+    """Return a client of an engine whose steps take 10 ms."""
     settings = EngineSettings(
         port=0,
         models=(LoadedModel(name="online"),),
@@ -30,7 +30,7 @@
 
 
 def request(number: int, model: str = "online", tokens: int = 10) -> PlannedRequest:
-    """Return a chat request 20 ms after the one before."""
+    """Return a chat request that is planned 20 ms after the previous one."""
     body = {**chat_body(model, f"number {number}", tokens), "stream": True}
     return PlannedRequest(
         at=0.02 * number,
@@ -43,13 +43,13 @@
 
 
 def run(engine, requests, *, timeout_ms=5000, settle_s=5.0) -> LoadResult:
-    """Send the requests, of which the first is not counted."""
+    """Send the requests; the first one falls into the warm-up and is not counted."""
     plan = LoadPlan(
         requests=requests,
         targets=[engine.base],
         keys=["a", "b"],
         start_at=time.monotonic(),
-        count_from=0.01,
+        count_from_s=0.01,
         settle_s=settle_s,
         timeout_ms=timeout_ms,
     )
@@ -57,11 +57,11 @@
 
 
 def test_measures_what_callers_receive(engine):
-    """Tokens, gaps and endings of the counted requests are those that the engine made."""
-    summary = add_up([run(engine, [request(number) for number in range(9)])])
+    """Tokens, token intervals and endings of the counted requests match the engine's answers."""
+    summary = merge_results([run(engine, [request(number) for number in range(9)])])
     assert summary.sent == 8
     assert summary.endings == {"chat whole": 8}
-    assert summary.callers[0].got == summary.callers[1].got == 40
+    assert summary.callers[0].delivered == summary.callers[1].delivered == 40
     assert summary.histograms[Measure.FIRST_TOKEN].get_total_count() == 8
     assert summary.histograms[Measure.BETWEEN_TOKENS].get_total_count() == 72
     assert summary.quantiles_ms(Measure.BETWEEN_TOKENS)["p50"] == pytest.approx(STEP_MS, rel=0.5)
@@ -76,16 +76,16 @@
         ({"hang": True}, "online", "chat timeout"),
     ],
 )
-def test_endings(engine, faults, model, ending):
-    """A request that is not answered whole is counted by how it ended, and never as served."""
+def test_incomplete_answers_are_counted_by_ending(engine, faults, model, ending):
+    """A request without a complete answer is counted by its ending, never as delivered."""
     engine.call("POST", "/faults", json_body=faults)
     result = run(engine, [request(0), request(1, model)], timeout_ms=200)
     assert result.endings == {ending: 1}
-    assert result.callers[1].got == 0
+    assert result.callers[1].delivered == 0
 
 
-def test_unfinished_at_the_end(engine):
-    """A request still in progress when the run ends is told apart from one that timed out."""
+def test_request_in_progress_at_the_end_is_unfinished(engine):
+    """A request still in progress when the run ends counts as unfinished, not as timed out."""
     result = run(engine, [request(0), request(1, tokens=5000)], settle_s=0.1)
     assert result.endings == {"chat unfinished": 1}
 
@@ -94,5 +94,5 @@
     ("shares", "index"), [([1, 1, 1, 1], 1.0), ([1, 0, 0, 0], 0.25), ([], 1.0), ([0, 0], 1.0)]
 )
 def test_jain_index(shares, index):
-    """The index is 1 for equal shares and 1/n when one has all."""
+    """The index is 1 for equal shares and 1/n if one of n shares has everything."""
     assert jain_index(shares) == pytest.approx(index)
