--- a/packages/standins/src/carobspool_standins/_experiment_settings.py
+++ b/packages/standins/src/carobspool_standins/_experiment_settings.py
@@ -56,7 +56,7 @@
         arrivals: Arrival pattern of all callers together.
         callers: Number of callers.
         hot_share: Share of the requests assigned to the first caller; the rest is drawn evenly
-            from all callers, the first one included.
+            from all callers, the first one included. 0 gives all callers the same share.
         prompt: Prompt sizes.
         answer: Answer sizes.
         shared_prefix_tokens: Length of the prefix that all prompts share.
--- a/packages/standins/src/carobspool_standins/_processes.py
+++ b/packages/standins/src/carobspool_standins/_processes.py
@@ -89,9 +89,7 @@
                 if not self.is_running(name):
                     raise ClusterError(f"process {name} ended during startup:\n{self.log(name)}")
                 if time.monotonic() > deadline:
-                    raise ClusterError(
-                        f"process {name} is not ready after {seconds} s:\n{self.log(name)}"
-                    )
+                    raise ClusterError(f"process {name} was not ready in time:\n{self.log(name)}")
                 time.sleep(POLL_INTERVAL_S)
 
     def is_running(self, name: str) -> bool:
--- a/packages/standins/src/carobspool_standins/quickstart.py
+++ b/packages/standins/src/carobspool_standins/quickstart.py
@@ -199,7 +199,7 @@
     good = {line["custom_id"] for line in results if line["response"]["status_code"] == 200}
     if len(results) != count or len(good) != count:
         raise StandinError(
-            f"{len(good)} of {count} items succeeded, in {len(results)} result lines"
+            f"{len(good)} successful results in {len(results)} lines for {count} items"
         )
     tour.report_step(
         f"ran a batch job of {count} items in {seconds:.1f} s through {ENTRIES[0]} and read all "
