--- a/packages/standins/src/carobspool_standins/_load_result.py
+++ b/packages/standins/src/carobspool_standins/_load_result.py
@@ -117,7 +117,7 @@
 
 
 def jain_index(shares: Iterable[float]) -> float:
-    """Return Jain's fairness index: 1 for equal shares, 1/n if one of n shares is not zero."""
+    """Return Jain's fairness index: 1 for equal shares, 1/n if only one of n is not zero."""
     values = list(shares)
     squares = sum(value * value for value in values)
     if not values or squares == 0:
