--- a/packages/cli/src/carobspool_cli/__main__.py
+++ b/packages/cli/src/carobspool_cli/__main__.py
@@ -52,7 +52,7 @@
 
 
 def main() -> int:
-    """Run the command line; the exit codes stand in ``ExitCode``."""
+    """Run the command line; ``ExitCode`` defines the exit codes."""
     return make_application().run()
 
 
--- a/packages/cli/src/carobspool_cli/_base.py
+++ b/packages/cli/src/carobspool_cli/_base.py
@@ -1,4 +1,4 @@
-"""What all commands share: options, the client, and how a command ends."""
+"""Base classes and options of all commands, and the errors that end one."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     option(
         "entry",
         None,
-        f"Address of an entry, http://ip:port; repeat it to name more, which are tried in order. "
+        f"Address of an entry, http://ip:port; repeat it for several, which are tried in order. "
         f"By default from {ENTRY_VARIABLE}, separated by commas.",
         flag=False,
         multiple=True,
@@ -62,11 +62,11 @@
         return int(error.exit_code)
 
     def run_command(self) -> Outcome:
-        """Do the command's work."""
+        """Execute the command and write its result."""
         raise NotImplementedError
 
-    def show(self, value: Json, lines: list[str]) -> Outcome:
-        """Write the result."""
+    def write_result(self, value: Json, lines: list[str]) -> Outcome:
+        """Write the result as lines of text, or as JSON if ``--json`` is given."""
         if self.option("json"):
             self._write(json.dumps(value, indent=2))
             return Success(None)
@@ -82,52 +82,56 @@
     """A command that calls the entries."""
 
     def run_command(self) -> Outcome:
-        """Find entries and key, then do the command's work."""
-        entries = _entries(self.option("entry"))
+        """Resolve the entries and the key, then execute the command."""
+        entries = _entry_addresses(self.option("entry"))
         if not entries:
-            return usage(f"name an entry by --entry or {ENTRY_VARIABLE}")
-        key = _key(self.option("key-file"))
+            return usage_error(f"no entry is given: use --entry or {ENTRY_VARIABLE}")
+        key = _read_key(self.option("key-file"))
         if not is_successful(key):
             return Failure(key.failure())
         return self.run_remote(Client(entries=entries, key=key.unwrap()))
 
     def run_remote(self, client: Client) -> Outcome:
-        """Do the command's work."""
+        """Execute the command through a client of the entries."""
         raise NotImplementedError
 
 
-def fetch(client: Client, method: str, path: str, body: Json = None) -> Result[Any, CommandError]:
-    """Make one call and turn its failure into the command's."""
+def call_entry(
+    client: Client, method: str, path: str, body: Json = None
+) -> Result[Any, CommandError]:
+    """Call the entries and convert a failure of the call into a command error."""
     return client.call(Call(method=method, path=path, body=body)).alt(command_error)
 
 
-def usage(message: str) -> Result[Any, CommandError]:
-    """Return the failure of a wrong command line."""
-    return failed(ExitCode.USAGE, "usage", (message,))
+def usage_error(message: str) -> Result[Any, CommandError]:
+    """Return the error for an invalid command line."""
+    return command_failure(ExitCode.USAGE, "usage", (message,))
 
 
-def failed(exit_code: ExitCode, code: str, lines: tuple[str, ...]) -> Result[Any, CommandError]:
-    """Return a failure that the command found itself."""
+def command_failure(
+    exit_code: ExitCode, code: str, lines: tuple[str, ...]
+) -> Result[Any, CommandError]:
+    """Return an error that the command detected without an answer of an entry."""
     value = {"error": {"code": code, "message": "; ".join(lines)}}
     return Failure(CommandError(exit_code=exit_code, lines=lines, value=value))
 
 
-def _entries(given: list[str]) -> tuple[str, ...]:
+def _entry_addresses(given: list[str]) -> tuple[str, ...]:
     if given:
         return tuple(given)
     listed = os.environ.get(ENTRY_VARIABLE, "").split(",")
     return tuple(entry.strip() for entry in listed if entry.strip())
 
 
-def _key(path: str | None) -> Result[str | None, CommandError]:
+def _read_key(path: str | None) -> Result[str | None, CommandError]:
     if path is None:
         return Success(os.environ.get(KEY_VARIABLE) or None)
     try:
         return Success(Path(path).read_text(encoding="utf-8").strip())
     except (OSError, UnicodeDecodeError) as error:
-        return usage(f"the key file cannot be read: {type(error).__name__}")
+        return usage_error(f"the key file cannot be read: {type(error).__name__}")
 
 
-def warn(text: str) -> None:
-    """Write a remark that is no part of the result."""
+def write_warning(text: str) -> None:
+    """Write a warning to standard error, which is not part of the result."""
     sys.stderr.write(f"{text}\n")
--- a/packages/cli/src/carobspool_cli/_client.py
+++ b/packages/cli/src/carobspool_cli/_client.py
@@ -1,4 +1,4 @@
-"""HTTP client of the entries: goes on to the next one when an entry is down."""
+"""HTTP client of the entries, with failover to the next entry when one is down."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 from carobspool_cli.errors import ClientFailure
 from carobspool_core import Json, Millis
 
-CONNECT_TIMEOUT: Millis = 2_000.0
-CALL_TIMEOUT: Millis = 30_000.0
-STALL_SECONDS = 120
-"""A transfer that moves nothing for this long is broken off."""
+CONNECT_TIMEOUT_MS: Millis = 2_000.0
+CALL_TIMEOUT_MS: Millis = 30_000.0
+STALL_TIMEOUT_S = 120
+"""A transfer without any progress for this long is aborted."""
 
-_NEVER_SENT = (pycurl.E_COULDNT_CONNECT, pycurl.E_COULDNT_RESOLVE_HOST)
+_NOT_SENT_ERRORS = (pycurl.E_COULDNT_CONNECT, pycurl.E_COULDNT_RESOLVE_HOST)
 
 Progress = Callable[[int, int], None]
-"""Takes the bytes moved and the bytes in all, 0 while unknown."""
+"""Callback with the bytes transferred and the total, which is 0 while unknown."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Call:
-    """One call. Every call of this client may be repeated without harm.
+    """One HTTP call. Repeating any call of this client is safe.
 
     Attributes:
         method: HTTP method.
@@ -54,7 +54,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class _Broken:
+class _TransportFailure:
     sent: bool
     detail: str
 
@@ -74,31 +74,31 @@
     key: str | None
 
     def call(self, call: Call, progress: Progress | None = None) -> Result[Json, ClientFailure]:
-        """Make a call at the first entry that answers it.
+        """Send a call to the entries in order until one answers it.
 
-        An entry that is down, or says that it cannot serve now, is passed over. Repeating is
-        harmless: an apply carries its base, a batch its idempotency key, and the other calls set a
+        An entry that is unreachable or answers with 503 is skipped. Repeating a call is safe: an
+        apply carries its base revision, a batch its idempotency key, and the other calls set a
         state.
         """
         last: _Reply | None = None
-        broken: list[tuple[str, _Broken]] = []
+        transport_failures: list[tuple[str, _TransportFailure]] = []
         for entry in self.entries:
             received = BytesIO()
             reply = self._exchange(entry, call, received, progress)
-            if isinstance(reply, _Broken):
-                broken.append((entry, reply))
+            if isinstance(reply, _TransportFailure):
+                transport_failures.append((entry, reply))
                 continue
             last = _Reply(status=reply.status, body=received.getvalue())
             if last.status != HTTPStatus.SERVICE_UNAVAILABLE:
-                return _answer(last)
+                return _parse_reply(last)
         if last is not None:
-            return _answer(last)
-        return Failure(_unanswered(broken))
+            return _parse_reply(last)
+        return Failure(_no_answer_failure(transport_failures))
 
     def download(
         self, path: str, target: Path, progress: Progress | None = None
     ) -> Result[int, ClientFailure]:
-        """Read a path into a file, which appears only when it is whole.
+        """Download a path into a file, which is created only once its content is complete.
 
         Returns:
             Its size in bytes.
@@ -106,12 +106,12 @@
         part = target.with_name(f"{target.name}.part")
         call = Call(method="GET", path=path)
         last: _Reply | None = None
-        broken: list[tuple[str, _Broken]] = []
+        transport_failures: list[tuple[str, _TransportFailure]] = []
         for entry in self.entries:
             with part.open("wb") as stream:
                 reply = self._exchange(entry, call, stream, progress)
-            if isinstance(reply, _Broken):
-                broken.append((entry, reply))
+            if isinstance(reply, _TransportFailure):
+                transport_failures.append((entry, reply))
                 continue
             if reply.status == HTTPStatus.OK:
                 part.replace(target)
@@ -120,17 +120,21 @@
             if last.status != HTTPStatus.SERVICE_UNAVAILABLE:
                 break
         part.unlink(missing_ok=True)
-        return Failure(_refusal(last) if last is not None else _unanswered(broken))
+        return Failure(
+            _failure_from_reply(last)
+            if last is not None
+            else _no_answer_failure(transport_failures)
+        )
 
     def _exchange(
         self, entry: str, call: Call, target: BinaryIO, progress: Progress | None
-    ) -> _Reply | _Broken:
+    ) -> _Reply | _TransportFailure:
         handle = pycurl.Curl()
         handle.setopt(pycurl.URL, entry.rstrip("/") + call.path)
         handle.setopt(pycurl.CUSTOMREQUEST, call.method)
         handle.setopt(pycurl.NOSIGNAL, 1)
         handle.setopt(pycurl.PROXY, "")
-        handle.setopt(pycurl.CONNECTTIMEOUT_MS, int(CONNECT_TIMEOUT))
+        handle.setopt(pycurl.CONNECTTIMEOUT_MS, int(CONNECT_TIMEOUT_MS))
         handle.setopt(pycurl.WRITEFUNCTION, target.write)
         handle.setopt(pycurl.HTTPHEADER, self._headers(call))
         _set_body(handle, call)
@@ -140,7 +144,7 @@
             return _Reply(status=handle.getinfo(pycurl.RESPONSE_CODE), body=b"")
         except pycurl.error as error:
             code = error.args[0]
-            return _Broken(sent=code not in _NEVER_SENT, detail=str(error.args[-1]))
+            return _TransportFailure(sent=code not in _NOT_SENT_ERRORS, detail=str(error.args[-1]))
         finally:
             handle.close()
 
@@ -167,37 +171,37 @@
 
 def _set_limits(handle: pycurl.Curl, call: Call, progress: Progress | None) -> None:
     if progress is None:
-        handle.setopt(pycurl.TIMEOUT_MS, int(CALL_TIMEOUT))
+        handle.setopt(pycurl.TIMEOUT_MS, int(CALL_TIMEOUT_MS))
         return
     handle.setopt(pycurl.LOW_SPEED_LIMIT, 1)
-    handle.setopt(pycurl.LOW_SPEED_TIME, STALL_SECONDS)
+    handle.setopt(pycurl.LOW_SPEED_TIME, STALL_TIMEOUT_S)
     handle.setopt(pycurl.NOPROGRESS, 0)
-    handle.setopt(pycurl.XFERINFOFUNCTION, _progress_reader(progress, upload=bool(call.upload)))
+    handle.setopt(pycurl.XFERINFOFUNCTION, _progress_callback(progress, upload=bool(call.upload)))
 
 
-def _progress_reader(progress: Progress, *, upload: bool) -> Callable[[int, int, int, int], int]:
-    def read(down_all: int, down: int, up_all: int, up: int) -> int:
+def _progress_callback(progress: Progress, *, upload: bool) -> Callable[[int, int, int, int], int]:
+    def report(down_all: int, down: int, up_all: int, up: int) -> int:
         if upload:
             progress(up, up_all)
         else:
             progress(down, down_all)
         return 0
 
-    return read
+    return report
 
 
-def _answer(reply: _Reply) -> Result[Json, ClientFailure]:
+def _parse_reply(reply: _Reply) -> Result[Json, ClientFailure]:
     if not HTTPStatus.OK <= reply.status < HTTPStatus.MULTIPLE_CHOICES:
-        return Failure(_refusal(reply))
+        return Failure(_failure_from_reply(reply))
     try:
         return Success(json.loads(reply.body))
     except ValueError:
-        return Failure(_refusal(reply))
+        return Failure(_failure_from_reply(reply))
 
 
-def _refusal(reply: _Reply) -> ClientFailure:
-    error = _error_in(reply.body)
-    details = {name: value for name, value in error.items() if name not in _COMMON}
+def _failure_from_reply(reply: _Reply) -> ClientFailure:
+    error = _error_object(reply.body)
+    details = {name: value for name, value in error.items() if name not in _COMMON_ERROR_FIELDS}
     refused = HTTPStatus.BAD_REQUEST <= reply.status < HTTPStatus.INTERNAL_SERVER_ERROR
     return ClientFailure(
         status=reply.status,
@@ -208,7 +212,7 @@
     )
 
 
-def _error_in(body: bytes) -> Mapping[str, Json]:
+def _error_object(body: bytes) -> Mapping[str, Json]:
     try:
         value = json.loads(body)
     except ValueError:
@@ -217,9 +221,11 @@
     return error if isinstance(error, dict) else {}
 
 
-def _unanswered(broken: Sequence[tuple[str, _Broken]]) -> ClientFailure:
-    sent = any(each.sent for _, each in broken)
-    tried = "; ".join(f"{entry}: {each.detail}" for entry, each in broken)
+def _no_answer_failure(
+    transport_failures: Sequence[tuple[str, _TransportFailure]],
+) -> ClientFailure:
+    sent = any(each.sent for _, each in transport_failures)
+    tried = "; ".join(f"{entry}: {each.detail}" for entry, each in transport_failures)
     return ClientFailure(
         status=0,
         code="answer_lost" if sent else "unreachable",
@@ -228,4 +234,4 @@
     )
 
 
-_COMMON = frozenset({"type", "code", "message", "outcome", "retry_after_ms"})
+_COMMON_ERROR_FIELDS = frozenset({"type", "code", "message", "outcome", "retry_after_ms"})
--- a/packages/cli/src/carobspool_cli/_config_commands.py
+++ b/packages/cli/src/carobspool_cli/_config_commands.py
@@ -15,19 +15,19 @@
     BaseCommand,
     Outcome,
     RemoteCommand,
-    fetch,
-    usage,
-    warn,
+    call_entry,
+    usage_error,
+    write_warning,
 )
 from carobspool_cli._client import Client
 from carobspool_cli._exit_codes import ExitCode
-from carobspool_cli._output import instant, table
+from carobspool_cli._output import format_table, format_timestamp
 from carobspool_cli.errors import CommandError
 from carobspool_core import DesiredState, Json
 from carobspool_core.schema import ConfigError, dump_state, load_folder
 
 BASE_FILE = ".carobspool-base"
-"""File in the folder that holds the revision to which the folder was last equal."""
+"""File in the folder with the revision that the folder's content last matched."""
 
 NEWEST = "newest"
 STATE_FILE = "state.json"
@@ -37,8 +37,8 @@
 _BASE = option(
     "base",
     None,
-    f"Revision from which the folder was made, or '{NEWEST}'. By default as noted in the folder by "
-    "the last apply or config show --to.",
+    f"Revision from which the folder was made, or '{NEWEST}'. By default as recorded in the folder "
+    "by the last apply or config show --to.",
     flag=False,
 )
 _LIMIT = option("limit", None, "Most lines to show.", flag=False, default=str(DEFAULT_LIMIT))
@@ -48,13 +48,13 @@
     """``carobspool validate``."""
 
     name = "validate"
-    description = "Check a folder of the desired state; every error is told at once."
+    description = "Check a folder of the desired state; all errors are reported at once."
     arguments = [_FOLDER]
     options = [JSON_OPTION]
 
     def run_command(self) -> Outcome:
         """Check the folder."""
-        state = _load(Path(self.argument("dir")))
+        state = _load_state(Path(self.argument("dir")))
         if not is_successful(state):
             return Failure(state.failure())
         counts = {name: len(each) for name, each in dump_state(state.unwrap()).items()}
@@ -62,7 +62,7 @@
             name: counts[name] for name in ("upstreams", "services")
         }
         words = ", ".join(f"{count} {name}" for name, count in counts.items())
-        return self.show({"valid": True, "counts": counts}, [f"valid: {words}"])
+        return self.write_result({"valid": True, "counts": counts}, [f"valid: {words}"])
 
 
 class DiffCommand(RemoteCommand):
@@ -74,17 +74,17 @@
     options = [*REMOTE_OPTIONS, _BASE]
 
     def run_remote(self, client: Client) -> Outcome:
-        """Ask the entry for the changes."""
+        """Request a dry run of the apply and show its changes."""
         folder = Path(self.argument("dir"))
         body = _apply_body(client, folder, self.option("base"), "diff")
         if not is_successful(body):
             return Failure(body.failure())
-        answer = fetch(client, "POST", "/operator/config?dry_run=1", body.unwrap())
+        answer = call_entry(client, "POST", "/operator/config?dry_run=1", body.unwrap())
         if not is_successful(answer):
             return Failure(answer.failure())
-        found = answer.unwrap()
-        lines = list(found["summary"]) or ["no changes"]
-        return self.show(found, [*lines, *_over_lines(found)])
+        reply = answer.unwrap()
+        lines = list(reply["summary"]) or ["no changes"]
+        return self.write_result(reply, [*lines, *_merged_lines(reply)])
 
 
 class ApplyCommand(RemoteCommand):
@@ -104,19 +104,19 @@
         folder = Path(self.argument("dir"))
         reason = self.option("reason")
         if not reason:
-            return usage("say why by --reason; it is kept in the audit trail")
+            return usage_error("--reason is required; the audit trail records it")
         body = _apply_body(client, folder, self.option("base"), reason)
         if not is_successful(body):
             return Failure(body.failure())
-        answer = fetch(client, "POST", "/operator/config", body.unwrap())
+        answer = call_entry(client, "POST", "/operator/config", body.unwrap())
         if not is_successful(answer):
             return Failure(answer.failure())
-        found = answer.unwrap()
-        if not found.get("over"):
-            _note_base(folder, found["revision"])
-        verb = "applied" if found.get("written", True) else "nothing to change"
-        first = f"{verb}: revision {found['revision']}"
-        return self.show(found, [first, *found["summary"], *_over_lines(found)])
+        reply = answer.unwrap()
+        if not reply.get("over"):
+            _record_base(folder, reply["revision"])
+        verb = "applied" if reply.get("written", True) else "nothing to change"
+        first = f"{verb}: revision {reply['revision']}"
+        return self.write_result(reply, [first, *reply["summary"], *_merged_lines(reply)])
 
 
 class ConfigShowCommand(RemoteCommand):
@@ -131,19 +131,19 @@
 
     def run_remote(self, client: Client) -> Outcome:
         """Read the configuration."""
-        answer = fetch(client, "GET", "/operator/config")
+        answer = call_entry(client, "GET", "/operator/config")
         if not is_successful(answer):
             return Failure(answer.failure())
-        found = answer.unwrap()
+        reply = answer.unwrap()
         target = self.option("to")
         if target is None:
-            text = json.dumps(found["state"], indent=2)
-            return self.show(found, [f"// revision {found['revision']}", text])
-        written = _write_folder(Path(target), found)
+            text = json.dumps(reply["state"], indent=2)
+            return self.write_result(reply, [f"// revision {reply['revision']}", text])
+        written = _write_folder(Path(target), reply)
         if not is_successful(written):
             return written
-        lines = [f"revision {found['revision']} written to {target}"]
-        return self.show({"revision": found["revision"], "to": target}, lines)
+        lines = [f"revision {reply['revision']} written to {target}"]
+        return self.write_result({"revision": reply["revision"], "to": target}, lines)
 
 
 class ConfigHistoryCommand(RemoteCommand):
@@ -161,103 +161,107 @@
         """Read the history."""
         limit, after = self.option("limit"), self.option("after")
         if not (limit.isdecimal() and after.isdecimal()):
-            return usage("--limit and --after take whole numbers")
+            return usage_error("--limit and --after take whole numbers")
         path = f"/operator/config/history?after={after}&limit={limit}"
-        answer = fetch(client, "GET", path)
+        answer = call_entry(client, "GET", path)
         if not is_successful(answer):
             return Failure(answer.failure())
-        found = answer.unwrap()
+        reply = answer.unwrap()
         rows = [["revision", "at", "author", "reason", "changes"]]
-        for each in found["revisions"]:
+        for each in reply["revisions"]:
             changes = "; ".join(each["summary"])
             number = str(each["revision"])
-            rows.append([number, instant(each["at"]), each["author"], each["reason"], changes])
-        return self.show(found, table(rows))
+            rows.append(
+                [number, format_timestamp(each["at"]), each["author"], each["reason"], changes]
+            )
+        return self.write_result(reply, format_table(rows))
 
 
-def _load(folder: Path) -> Result[DesiredState, CommandError]:
-    return load_folder(folder).alt(_invalid)
+def _load_state(folder: Path) -> Result[DesiredState, CommandError]:
+    return load_folder(folder).alt(_configuration_error)
 
 
-def _invalid(errors: tuple[ConfigError, ...]) -> CommandError:
-    found = [
+def _configuration_error(errors: tuple[ConfigError, ...]) -> CommandError:
+    entries = [
         {"file": each.file, "path": each.path, "found": each.found, "allowed": each.allowed}
         for each in errors
     ]
     lines = [str(each) for each in errors]
     lines.append(f"{len(errors)} errors; nothing was applied")
-    value = {"error": {"code": "invalid_configuration", "errors": found}}
+    value = {"error": {"code": "invalid_configuration", "errors": entries}}
     return CommandError(exit_code=ExitCode.INVALID, lines=tuple(lines), value=value)
 
 
 def _apply_body(
     client: Client, folder: Path, base: str | None, reason: str
 ) -> Result[Json, CommandError]:
-    state = _load(folder)
+    state = _load_state(folder)
     if not is_successful(state):
         return Failure(state.failure())
-    number = _base_number(client, folder, base)
+    number = _base_revision(client, folder, base)
     if not is_successful(number):
         return Failure(number.failure())
     content = dump_state(state.unwrap())
     return Success({"base": number.unwrap(), "state": content, "reason": reason})
 
 
-def _base_number(client: Client, folder: Path, base: str | None) -> Result[int, CommandError]:
-    """Return the revision that the folder was made from.
+def _base_revision(client: Client, folder: Path, base: str | None) -> Result[int, CommandError]:
+    """Return the revision from which the folder was made.
 
-    Taking the newest by default would undo, unseen, whatever others applied since the files were
-    written: the folder is the whole state, so what it does not have is removed.
+    A default of the newest revision would silently undo what other operators applied since the
+    files were written: the folder is the complete state, so what it does not contain is removed.
     """
-    noted = _noted_base(folder) if base is None else base
-    if noted is not None and noted.isdecimal():
-        return Success(int(noted))
-    if noted is not None and noted != NEWEST:
-        return usage(f"--base takes a revision number or '{NEWEST}', not {noted!r}")
-    answer = fetch(client, "GET", "/operator/config")
+    recorded = _read_recorded_base(folder) if base is None else base
+    if recorded is not None and recorded.isdecimal():
+        return Success(int(recorded))
+    if recorded is not None and recorded != NEWEST:
+        return usage_error(f"--base takes a revision number or '{NEWEST}', not {recorded!r}")
+    answer = call_entry(client, "GET", "/operator/config")
     if not is_successful(answer):
         return Failure(answer.failure())
     newest: int = answer.unwrap()["revision"]
-    if noted == NEWEST or newest == 0:
+    if recorded == NEWEST or newest == 0:
         return Success(newest)
-    return usage(
+    return usage_error(
         f"revision {newest} is in force and the folder does not say from which revision it was "
-        f"made; see 'config history', then give --base (or --base {NEWEST} to replace whatever is "
-        "there)"
+        f"made; see 'config history', then give --base (or --base {NEWEST} to replace what is "
+        "in force)"
     )
 
 
-def _noted_base(folder: Path) -> str | None:
+def _read_recorded_base(folder: Path) -> str | None:
     path = folder / BASE_FILE
     return path.read_text(encoding="utf-8").strip() if path.is_file() else None
 
 
-def _note_base(folder: Path, revision: int) -> None:
+def _record_base(folder: Path, revision: int) -> None:
     try:
         (folder / BASE_FILE).write_text(f"{revision}\n", encoding="utf-8")
     except OSError as error:
-        warn(f"revision {revision} could not be noted in the folder: {type(error).__name__}")
+        write_warning(
+            f"revision {revision} could not be recorded in the folder: {type(error).__name__}"
+        )
 
 
-def _over_lines(found: Json) -> list[str]:
-    over = found.get("over", [])
+def _merged_lines(reply: Json) -> list[str]:
+    over = reply.get("over", [])
     if not over:
         return []
     numbers = ", ".join(str(each) for each in over)
     return [
         f"merged with the changes of revision {numbers}, which the folder does not have: "
-        "take them into its files, or write the folder anew by 'config show --to'"
+        "add them to its files, or write the folder again with 'config show --to'"
     ]
 
 
-def _write_folder(folder: Path, found: Json) -> Outcome:
+def _write_folder(folder: Path, reply: Json) -> Outcome:
     if any(folder.glob("*.json")):
-        return usage(f"{folder} holds *.json files already")
+        return usage_error(f"{folder} holds *.json files already")
     try:
         folder.mkdir(parents=True, exist_ok=True)
-        text = json.dumps(found["state"], indent=2) + "\n"
+        text = json.dumps(reply["state"], indent=2) + "\n"
         (folder / STATE_FILE).write_text(text, encoding="utf-8")
     except OSError as error:
-        return usage(f"{folder} cannot be written: {type(error).__name__}")
-    _note_base(folder, found["revision"])
+        return usage_error(f"{folder} cannot be written: {type(error).__name__}")
+    _record_base(folder, reply["revision"])
     return Success(None)
--- a/packages/cli/src/carobspool_cli/_exit_codes.py
+++ b/packages/cli/src/carobspool_cli/_exit_codes.py
@@ -6,18 +6,18 @@
 
 
 class ExitCode(IntEnum):
-    """Why the process ended.
+    """Exit code of a command.
 
     Attributes:
-        DONE: Done as asked.
-        USAGE: The command line is wrong.
-        INVALID: The files are wrong; nothing was sent or applied.
+        DONE: The command succeeded.
+        USAGE: The command line is invalid.
+        INVALID: The files are invalid; nothing was sent or applied.
         CONFLICT: Another operator changed the same entries; nothing was applied.
         REFUSED: The entry refused the call; nothing was done.
         UNREACHABLE: No entry answered, or none can reach the store; nothing was done.
         UNKNOWN: An answer was lost; the call may have been carried out. Repeating it is harmless.
         JOB_FAILED: The job ended without completing.
-        NOT_FOUND: What was asked for is not in the files given.
+        NOT_FOUND: The given files do not contain the id asked for.
 
     Since 0.1.
     """
--- a/packages/cli/src/carobspool_cli/_explain_command.py
+++ b/packages/cli/src/carobspool_cli/_explain_command.py
@@ -1,4 +1,4 @@
-"""``carobspool explain``: the timeline of one request, job or item over many logs."""
+"""``carobspool explain``: the timeline of one request, job or item across logs."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 
 from cleo.helpers import argument
 
-from carobspool_cli._base import JSON_OPTION, BaseCommand, Outcome, failed
+from carobspool_cli._base import JSON_OPTION, BaseCommand, Outcome, command_failure
 from carobspool_cli._exit_codes import ExitCode
-from carobspool_cli._timeline import LogLine, timeline
+from carobspool_cli._timeline import LogLine, build_timeline
 
 
 class ExplainCommand(BaseCommand):
     """``carobspool explain``."""
 
     name = "explain"
-    description = "Show what the logs say of one request, job or item, in the order of time."
+    description = "Show what the logs say of one request, job or item, in chronological order."
     arguments = [
         argument("id", "The id of a request, job or item."),
         argument("logs", "Log files; standard input by default.", optional=True, multiple=True),
@@ -30,19 +30,21 @@
             try:
                 text = sys.stdin.read() if name == "-" else Path(name).read_text(encoding="utf-8")
             except (OSError, UnicodeDecodeError) as error:
-                return failed(ExitCode.USAGE, "unreadable_log", (f"{name}: {error}",))
+                return command_failure(ExitCode.USAGE, "unreadable_log", (f"{name}: {error}",))
             lines.extend(text.splitlines())
-        found = timeline(self.argument("id"), lines)
+        found = build_timeline(self.argument("id"), lines)
         if not found.lines:
-            message = f"no line names {self.argument('id')}: is it in these logs?"
-            return failed(ExitCode.NOT_FOUND, "not_found", (message,))
+            message = f"no line of these logs names {self.argument('id')}"
+            return command_failure(ExitCode.NOT_FOUND, "not_found", (message,))
         value = {
             "nodes": list(found.nodes),
             "upstreams": list(found.upstreams),
             "lines": [each.pairs for each in found.lines],
         }
-        return self.show(value, [_shown(each, found.lines[0].second) for each in found.lines])
+        return self.write_result(
+            value, [_format_line(each, found.lines[0].second) for each in found.lines]
+        )
 
 
-def _shown(line: LogLine, start: float) -> str:
+def _format_line(line: LogLine, start: float) -> str:
     return f"{line.second - start:+9.3f} s  {line.node:24} {line.text}"
--- a/packages/cli/src/carobspool_cli/_job_commands.py
+++ b/packages/cli/src/carobspool_cli/_job_commands.py
@@ -12,15 +12,22 @@
 from returns.pipeline import is_successful
 from returns.result import Failure, Result, Success
 
-from carobspool_cli._base import REMOTE_OPTIONS, Outcome, RemoteCommand, failed, fetch, usage
+from carobspool_cli._base import (
+    REMOTE_OPTIONS,
+    Outcome,
+    RemoteCommand,
+    call_entry,
+    command_failure,
+    usage_error,
+)
 from carobspool_cli._client import Call, Client
 from carobspool_cli._exit_codes import ExitCode
 from carobspool_cli._output import ProgressLine, command_error
 from carobspool_cli.errors import CommandError
 from carobspool_core import Json
 
-ENDED = frozenset({"completed", "failed", "expired", "cancelled"})
-POLL_SECONDS = 1.0
+TERMINAL_STATUSES = frozenset({"completed", "failed", "expired", "cancelled"})
+POLL_INTERVAL_S = 1.0
 COMPLETION_WINDOW = "24h"
 REASON_HEADER = "carobspool-reason"
 
@@ -47,21 +54,21 @@
         option(
             "idempotency-key",
             None,
-            "Submitting again under this key finds the same job; made up when left out.",
+            "Submitting again under this key finds the same job; generated if not given.",
             flag=False,
         ),
         option("metadata", None, "NAME=VALUE, repeatable.", flag=False, multiple=True),
     ]
 
     def run_remote(self, client: Client) -> Outcome:
-        """Upload the file, create the job, and wait if asked to."""
+        """Upload the file, create the job, and wait for its end if ``--wait`` is given."""
         path = Path(self.argument("file"))
         if not path.is_file():
-            return usage(f"there is no file {path}")
-        metadata = _metadata(self.option("metadata"))
+            return usage_error(f"there is no file {path}")
+        metadata = _parse_metadata(self.option("metadata"))
         if metadata is None:
-            return usage("--metadata takes NAME=VALUE")
-        uploaded = _upload(client, path)
+            return usage_error("--metadata takes NAME=VALUE")
+        uploaded = _upload_file(client, path)
         if not is_successful(uploaded):
             return Failure(uploaded.failure())
         body = {
@@ -78,8 +85,8 @@
             return Failure(created.failure())
         job = created.unwrap()
         if not self.option("wait"):
-            return self.show(job, [f"accepted: {job['id']}"])
-        return _finish(self, _wait(client, job["id"]))
+            return self.write_result(job, [f"accepted: {job['id']}"])
+        return _show_ended_job(self, _wait_for_end(client, job["id"]))
 
 
 class JobStatusCommand(RemoteCommand):
@@ -91,14 +98,14 @@
     options = [*REMOTE_OPTIONS, _WAIT]
 
     def run_remote(self, client: Client) -> Outcome:
-        """Read the job, once or until its end."""
+        """Show the job, with ``--wait`` once it has ended."""
         job_id = self.argument("id")
         if self.option("wait"):
-            return _finish(self, _wait(client, job_id))
-        answer = fetch(client, "GET", _path(job_id))
+            return _show_ended_job(self, _wait_for_end(client, job_id))
+        answer = call_entry(client, "GET", _job_path(job_id))
         if not is_successful(answer):
             return Failure(answer.failure())
-        return self.show(answer.unwrap(), _lines(answer.unwrap()))
+        return self.write_result(answer.unwrap(), _job_lines(answer.unwrap()))
 
 
 class ResultsCommand(RemoteCommand):
@@ -114,16 +121,18 @@
     ]
 
     def run_remote(self, client: Client) -> Outcome:
-        """Find the result file and read it."""
+        """Look up the job's result file and download it."""
         job_id = self.argument("id")
-        answer = fetch(client, "GET", _path(job_id))
+        answer = call_entry(client, "GET", _job_path(job_id))
         if not is_successful(answer):
             return Failure(answer.failure())
         field = "error_file_id" if self.option("errors") else "output_file_id"
         file_id = answer.unwrap().get(field)
         if file_id is None:
             status = answer.unwrap()["status"]
-            return failed(ExitCode.REFUSED, "no_results", (f"{job_id}: {status}, no {field}",))
+            return command_failure(
+                ExitCode.REFUSED, "no_results", (f"{job_id}: {status}, no {field}",)
+            )
         suffix = ".errors.jsonl" if self.option("errors") else ".jsonl"
         target = Path(self.option("output") or f"{job_id}{suffix}")
         return self._read(client, file_id, target)
@@ -134,13 +143,13 @@
         try:
             size = client.download(path, target, line.draw).alt(command_error)
         except OSError as error:
-            return usage(f"{target} cannot be written: {type(error).__name__}")
+            return usage_error(f"{target} cannot be written: {type(error).__name__}")
         finally:
             line.end()
         if not is_successful(size):
             return Failure(size.failure())
         value = {"file": str(target), "bytes": size.unwrap()}
-        return self.show(value, [f"{target}: {size.unwrap()} bytes"])
+        return self.write_result(value, [f"{target}: {size.unwrap()} bytes"])
 
 
 class CancelCommand(RemoteCommand):
@@ -156,16 +165,16 @@
 
     def run_remote(self, client: Client) -> Outcome:
         """Cancel the job."""
-        # Encoded, since a header holds no line breaks and hardly any letters beyond ASCII.
+        # Percent-encoded: a header allows no line breaks and few characters beyond ASCII.
         headers = {REASON_HEADER: quote(self.option("reason"))}
-        call = Call(method="POST", path=f"{_path(self.argument('id'))}/cancel", headers=headers)
+        call = Call(method="POST", path=f"{_job_path(self.argument('id'))}/cancel", headers=headers)
         answer = client.call(call).alt(command_error)
         if not is_successful(answer):
             return Failure(answer.failure())
-        return self.show(answer.unwrap(), _lines(answer.unwrap()))
+        return self.write_result(answer.unwrap(), _job_lines(answer.unwrap()))
 
 
-def _upload(client: Client, path: Path) -> Result[Json, CommandError]:
+def _upload_file(client: Client, path: Path) -> Result[Json, CommandError]:
     line = ProgressLine(sys.stderr, "sending bytes")
     try:
         call = Call(method="POST", path="/v1/files", upload=path)
@@ -174,35 +183,35 @@
         line.end()
 
 
-def _wait(client: Client, job_id: str) -> Result[Json, CommandError]:
+def _wait_for_end(client: Client, job_id: str) -> Result[Json, CommandError]:
     line = ProgressLine(sys.stderr, f"{job_id} items")
     try:
         while True:
-            answer = fetch(client, "GET", _path(job_id))
+            answer = call_entry(client, "GET", _job_path(job_id))
             if not is_successful(answer):
                 return answer
             job = answer.unwrap()
             counts = job["request_counts"]
             line.draw(counts["completed"] + counts["failed"], counts["total"])
-            if job["status"] in ENDED:
+            if job["status"] in TERMINAL_STATUSES:
                 return Success(job)
-            time.sleep(POLL_SECONDS)
+            time.sleep(POLL_INTERVAL_S)
     finally:
         line.end()
 
 
-def _finish(command: RemoteCommand, ended: Result[Json, CommandError]) -> Outcome:
+def _show_ended_job(command: RemoteCommand, ended: Result[Json, CommandError]) -> Outcome:
     if not is_successful(ended):
         return Failure(ended.failure())
     job = ended.unwrap()
-    lines = _lines(job)
+    lines = _job_lines(job)
     if job["status"] == "completed":
-        return command.show(job, lines)
+        return command.write_result(job, lines)
     error = CommandError(exit_code=ExitCode.JOB_FAILED, lines=tuple(lines), value=job)
     return Failure(error)
 
 
-def _lines(job: Json) -> list[str]:
+def _job_lines(job: Json) -> list[str]:
     counts = job["request_counts"]
     return [
         f"{job['id']}: {job['status']}",
@@ -210,11 +219,11 @@
     ]
 
 
-def _path(job_id: str) -> str:
+def _job_path(job_id: str) -> str:
     return f"/v1/batches/{quote(job_id, safe='')}"
 
 
-def _metadata(pairs: list[str]) -> dict[str, str] | None:
+def _parse_metadata(pairs: list[str]) -> dict[str, str] | None:
     found: dict[str, str] = {}
     for pair in pairs:
         name, separator, value = pair.partition("=")
--- a/packages/cli/src/carobspool_cli/_operator_commands.py
+++ b/packages/cli/src/carobspool_cli/_operator_commands.py
@@ -1,4 +1,4 @@
-"""Commands of operators besides the configuration: audit, status, drain."""
+"""Commands for operators other than those on the configuration: audit, status, drain."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 from returns.pipeline import is_successful
 from returns.result import Failure
 
-from carobspool_cli._base import REMOTE_OPTIONS, Outcome, RemoteCommand, fetch, usage
+from carobspool_cli._base import REMOTE_OPTIONS, Outcome, RemoteCommand, call_entry, usage_error
 from carobspool_cli._client import Client
-from carobspool_cli._output import instant, table
+from carobspool_cli._output import format_table, format_timestamp
 from carobspool_core import Json
 
 DEFAULT_LIMIT = 20
-NOTHING = "-"
+EMPTY_VALUE = "-"
 
 
-SHOWN_CHARACTERS = 48
-"""Characters of a value that a row of the audit trail shows."""
+MAX_VALUE_CHARACTERS = 48
+"""Length at which a row of the audit trail truncates a value."""
 
 
 class AuditCommand(RemoteCommand):
@@ -36,15 +36,15 @@
         """Read the audit trail."""
         limit = self.option("limit")
         if not limit.isdecimal():
-            return usage("--limit takes a whole number")
-        answer = fetch(client, "GET", f"/operator/audit?limit={limit}")
+            return usage_error("--limit takes a whole number")
+        answer = call_entry(client, "GET", f"/operator/audit?limit={limit}")
         if not is_successful(answer):
             return Failure(answer.failure())
-        found = answer.unwrap()
+        reply = answer.unwrap()
         rows = [["at", "who", "kind", "subject", "reason", "before", "after"]]
-        for record in found["records"]:
+        for record in reply["records"]:
             rows.append(_audit_row(record))
-        return self.show(found, table(rows))
+        return self.write_result(reply, format_table(rows))
 
 
 class StatusCommand(RemoteCommand):
@@ -56,12 +56,12 @@
 
     def run_remote(self, client: Client) -> Outcome:
         """Read the status."""
-        answer = fetch(client, "GET", "/operator/status")
+        answer = call_entry(client, "GET", "/operator/status")
         if not is_successful(answer):
             return Failure(answer.failure())
-        found = answer.unwrap()
-        lines = [f"{name}: {_words(found[name])}" for name in found if name != "upstreams"]
-        return self.show(found, [*lines, "", *_upstream_lines(found.get("upstreams", []))])
+        reply = answer.unwrap()
+        lines = [f"{name}: {_format_value(reply[name])}" for name in reply if name != "upstreams"]
+        return self.write_result(reply, [*lines, "", *_upstream_lines(reply.get("upstreams", []))])
 
 
 class DrainCommand(RemoteCommand):
@@ -77,30 +77,30 @@
     ]
 
     def run_remote(self, client: Client) -> Outcome:
-        """Give the order."""
+        """Drain the host or return it to service."""
         host, reason = self.argument("host"), self.option("reason")
         if not reason:
-            return usage("say why by --reason; it is kept in the audit trail")
+            return usage_error("--reason is required; the audit trail records it")
         drain = not self.option("return")
         body = {"drain": drain, "reason": reason}
-        answer = fetch(client, "POST", f"/operator/drains/{quote(host, safe='')}", body)
+        answer = call_entry(client, "POST", f"/operator/drains/{quote(host, safe='')}", body)
         if not is_successful(answer):
             return Failure(answer.failure())
-        found = answer.unwrap()
+        reply = answer.unwrap()
         state = "drained" if drain else "in service"
-        already = "" if found.get("changed", True) else " already"
-        return self.show(found, [f"{host}: {state}{already}"])
+        already = "" if reply.get("changed", True) else " already"
+        return self.write_result(reply, [f"{host}: {state}{already}"])
 
 
 def _audit_row(record: Json) -> list[str]:
     return [
-        instant(record["at"]),
+        format_timestamp(record["at"]),
         record["who"],
         record["kind"],
         record["subject"],
         record["reason"],
-        _short(_words(record["before"])),
-        _short(_words(record["after"])),
+        _truncate(_format_value(record["before"])),
+        _truncate(_format_value(record["after"])),
     ]
 
 
@@ -110,24 +110,24 @@
     columns = list(upstreams[0])
     rows = [columns]
     for upstream in upstreams:
-        rows.append([_words(upstream.get(column)) for column in columns])
-    return table(rows)
+        rows.append([_format_value(upstream.get(column)) for column in columns])
+    return format_table(rows)
 
 
-def _short(text: str) -> str:
-    """Cut what does not fit into a line; ``--json`` shows it whole."""
-    return text if len(text) <= SHOWN_CHARACTERS else text[: SHOWN_CHARACTERS - 1] + "…"
+def _truncate(text: str) -> str:
+    """Truncate a value that is too long for a row; ``--json`` shows it in full."""
+    return text if len(text) <= MAX_VALUE_CHARACTERS else text[: MAX_VALUE_CHARACTERS - 1] + "…"
 
 
-def _words(value: Json) -> str:
+def _format_value(value: Json) -> str:
     if value is None:
-        return NOTHING
+        return EMPTY_VALUE
     if isinstance(value, bool):
         return "yes" if value else "no"
     if isinstance(value, float):
         return f"{value:.0f}"
     if isinstance(value, list) and all(isinstance(each, str) for each in value):
-        return ", ".join(value) or NOTHING
+        return ", ".join(value) or EMPTY_VALUE
     if isinstance(value, dict | list):
         return json.dumps(value)
     return str(value)
--- a/packages/cli/src/carobspool_cli/_output.py
+++ b/packages/cli/src/carobspool_cli/_output.py
@@ -1,4 +1,4 @@
-"""How results and errors are shown."""
+"""Formatting of results, errors and progress."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from carobspool_cli.errors import ClientFailure, CommandError
 from carobspool_core import Json
 
-REDRAW_SECONDS = 0.2
-"""Shortest time between two drawings of a progress line."""
+REDRAW_INTERVAL_S = 0.2
+"""Minimum interval between two updates of a progress line."""
 
 
-def instant(at: float) -> str:
-    """Return an instant for a person.
+def format_timestamp(at: float) -> str:
+    """Return a timestamp as readable UTC text.
 
     Args:
         at: Milliseconds since the Unix epoch.
@@ -24,8 +24,8 @@
     return datetime.fromtimestamp(at / 1000.0, tz=UTC).strftime("%Y-%m-%d %H:%M:%SZ")
 
 
-def table(rows: Sequence[Sequence[str]]) -> list[str]:
-    """Return rows as lines with columns of equal width; the first row is the heading."""
+def format_table(rows: Sequence[Sequence[str]]) -> list[str]:
+    """Return rows as lines of text with aligned columns; the first row is the heading."""
     widths = [max(len(row[column]) for row in rows) for column in range(len(rows[0]))]
     lines = []
     for row in rows:
@@ -35,37 +35,39 @@
 
 
 class ProgressLine:
-    """A line on a terminal that is drawn over; nothing where there is no terminal."""
+    """A progress line that is redrawn in place; without a terminal nothing is written."""
 
     def __init__(self, stream: TextIO, label: str) -> None:
         self._stream = stream
         self._label = label
-        self._shown = stream.isatty()
-        self._drawn = 0.0
+        self._enabled = stream.isatty()
+        self._last_draw = 0.0
 
     def draw(self, done: int, total: int) -> None:
-        """Show how much is done."""
+        """Update the line, at most once per ``REDRAW_INTERVAL_S``."""
         now = time.monotonic()
-        if not self._shown or now - self._drawn < REDRAW_SECONDS:
+        if not self._enabled or now - self._last_draw < REDRAW_INTERVAL_S:
             return
-        self._drawn = now
+        self._last_draw = now
         share = f" ({100 * done // total}%)" if total else ""
         self._stream.write(f"\r\x1b[K{self._label}: {done} of {total or '?'}{share}")
         self._stream.flush()
 
     def end(self) -> None:
-        """Remove the line."""
-        if self._shown:
+        """Clear the line."""
+        if self._enabled:
             self._stream.write("\r\x1b[K")
             self._stream.flush()
 
 
 def command_error(failure: ClientFailure) -> CommandError:
-    """Return what to tell the user of a failed call."""
+    """Return the command error that reports a failed call to the user."""
     lines = [f"{failure.code}: {failure.message}"]
     lines.extend(_conflict_lines(failure.details.get("conflicts", ())))
     lines.extend(_error_lines(failure.details.get("errors", ())))
-    lines.extend(f"since the base: {_by(each)}" for each in failure.details.get("over", ()))
+    lines.extend(
+        f"since the base: {_author_text(each)}" for each in failure.details.get("over", ())
+    )
     value = {
         "error": {
             "status": failure.status,
@@ -96,7 +98,7 @@
         yield from (f"  yours:  {line}" for line in conflict["mine"])
         yield from (f"  theirs: {line}" for line in conflict["theirs"])
         by = conflict.get("by")
-        yield f"  by {_by(by)}" if by else "  by whom is not known"
+        yield f"  by {_author_text(by)}" if by else "  author not known"
 
 
 def _error_lines(errors: Iterable[Json]) -> Iterable[str]:
@@ -105,8 +107,8 @@
         yield f"{place}{error['path']}: found {error['found']}; allowed: {error['allowed']}"
 
 
-def _by(revision: Json) -> str:
+def _author_text(revision: Json) -> str:
     return (
-        f"{revision['author']} at {instant(revision['at'])} in revision {revision['revision']}: "
-        f"{revision['reason']}"
+        f"{revision['author']} at {format_timestamp(revision['at'])} "
+        f"in revision {revision['revision']}: {revision['reason']}"
     )
--- a/packages/cli/src/carobspool_cli/_timeline.py
+++ b/packages/cli/src/carobspool_cli/_timeline.py
@@ -1,4 +1,4 @@
-"""What the logs of many processes say of one request, job or item, in the order of time."""
+"""Timeline of one request, job or item from the logs of several processes."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-NODE_EVENTS = frozenset(
+CONTEXT_EVENTS = frozenset(
     (
         "start",
         "stop",
@@ -21,9 +21,9 @@
         "upstreams_listed",
     )
 )
-"""Events that change what a process believes; they explain a decision that follows them."""
-LOOK_BACK_S = 5.0
-"""How long before the first line of the subject such events are shown."""
+"""Events that change a process's view of the system and so explain its later decisions."""
+CONTEXT_WINDOW_S = 5.0
+"""How long before the subject's first line such events are included."""
 
 _PAIR = re.compile(r"""(\w+)=("(?:[^"\\]|\\.)*"|'(?:[^'\\]|\\.)*'|\S*)""")
 _TIME = re.compile(r"time=\d+-\d+-\d+T(\d+):(\d+):(\d+\.\d+)")
@@ -35,9 +35,9 @@
     """One line of a log.
 
     Attributes:
-        second: Second of the day.
+        second: Seconds since midnight.
         node: The process that wrote it.
-        event: What happened.
+        event: Name of the event.
         pairs: All its key=value pairs.
         text: The line from ``event=`` on.
     """
@@ -51,15 +51,15 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Timeline:
-    """The lines that concern one id, and those that explain them."""
+    """The lines that name one id, and the events that explain them."""
 
     lines: tuple[LogLine, ...]
     nodes: tuple[str, ...]
     upstreams: tuple[str, ...]
 
 
-def read_line(text: str) -> LogLine | None:
-    """Return a line of a process's log, ``None`` for anything else."""
+def parse_log_line(text: str) -> LogLine | None:
+    """Parse a line of a process's log; return ``None`` for any other text."""
     time = _TIME.search(text)
     start = text.find("event=")
     if time is None or start < 0:
@@ -75,26 +75,27 @@
     )
 
 
-def timeline(subject: str, lines: Iterable[str]) -> Timeline:
-    """Return what concerns a request, job or item.
+def build_timeline(subject: str, lines: Iterable[str]) -> Timeline:
+    """Return the timeline of a request, job or item.
 
-    Besides the lines that name it: what changed at the same processes shortly before and until its
-    last line, and what the same processes learned of the upstreams that it met.
+    Besides the lines that name its id, the timeline has the context events of the same processes
+    from ``CONTEXT_WINDOW_S`` before its first line until its last one. Of the changes to upstreams
+    it has only those of upstreams that its matching lines name.
     """
-    known = [each for each in map(read_line, lines) if each is not None]
-    own = [each for each in known if subject in each.pairs.values()]
-    if not own:
+    parsed = [each for each in map(parse_log_line, lines) if each is not None]
+    matching = [each for each in parsed if subject in each.pairs.values()]
+    if not matching:
         return Timeline(lines=(), nodes=(), upstreams=())
-    first = min(each.second for each in own)
-    last = max(each.second for each in own)
-    nodes = {each.node for each in own}
-    upstreams = {name for each in own for name in _upstreams(each) if name}
-    found = list(own)
-    for each in known:
-        in_time = (first - each.second) % _DAY_S <= LOOK_BACK_S or first <= each.second <= last
-        if each in own or each.node not in nodes or not in_time:
+    first = min(each.second for each in matching)
+    last = max(each.second for each in matching)
+    nodes = {each.node for each in matching}
+    upstreams = {name for each in matching for name in _upstreams(each) if name}
+    found = list(matching)
+    for each in parsed:
+        in_time = (first - each.second) % _DAY_S <= CONTEXT_WINDOW_S or first <= each.second <= last
+        if each in matching or each.node not in nodes or not in_time:
             continue
-        if each.event not in NODE_EVENTS:
+        if each.event not in CONTEXT_EVENTS:
             continue
         if each.event == "upstream_changed" and each.pairs.get("upstream") not in upstreams:
             continue
--- a/packages/cli/src/carobspool_cli/errors.py
+++ b/packages/cli/src/carobspool_cli/errors.py
@@ -18,7 +18,7 @@
         code: The entry's code of the failure, or ``unreachable``, or ``answer_lost``.
         message: One sentence for a person.
         outcome: ``not_run``, ``ran`` or ``unknown``.
-        details: What the entry said besides: conflicts, errors.
+        details: Further fields of the entry's error, such as conflicts and errors.
 
     Since 0.1.
     """
@@ -32,12 +32,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CommandError:
-    """What a command that failed tells its user.
+    """Report of a failed command to its user.
 
     Attributes:
         exit_code: Exit code of the process.
-        lines: For a person, the first says what happened.
-        value: The same as JSON.
+        lines: Text for a person; the first line says what happened.
+        value: The report as JSON.
 
     Since 0.1.
     """
--- a/packages/cli/tests/test_commands.py
+++ b/packages/cli/tests/test_commands.py
@@ -27,7 +27,7 @@
 
 
 def digest(key: str) -> str:
-    """Return a key's hash as the files hold it."""
+    """Return the hash of a key, as written in the files."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
@@ -77,7 +77,7 @@
 
 @pytest.fixture
 def entry(monkeypatch: pytest.MonkeyPatch) -> Iterator[Entry]:
-    """Serve an entry; commands find it behind one that is down."""
+    """Serve an entry; the commands' list of entries begins with one that is down."""
     served = Entry()
     thread = threading.Thread(target=served.server.serve_forever)
     thread.start()
@@ -102,7 +102,7 @@
     return path
 
 
-def test_validate_leads_to_the_mend(tmp_path: Path) -> None:
+def test_validate_reports_file_path_value_and_allowed(tmp_path: Path) -> None:
     """A bad folder is refused with file, path, found and allowed, and its own exit code."""
     path = folder(tmp_path / "a", state() | {"batch": {"chunk_items": 0}})
     code, text = run(f"validate {path}")
@@ -112,7 +112,7 @@
 
 
 def test_apply_show_history_and_audit(entry: Entry, tmp_path: Path) -> None:
-    """An apply is previewed, comes into force, and is told with author and reason."""
+    """Diff previews an apply; history and audit then show it with its author and reason."""
     path = folder(tmp_path / "a", state(press=1.0))
     assert "organisations/press: added" in run(f"diff {path}")[1]
     code, text = run(f"apply {path} --reason 'first <b>of</b> all'")
@@ -126,10 +126,10 @@
 
 
 def test_conflict_tells_who_changed_what_and_when(entry: Entry, tmp_path: Path) -> None:
-    """Two operators start from one revision and change one entry; the second is told of the first.
+    """Of two operators that change one organisation on the same base, the second gets a conflict.
 
-    The loser's folder still says from which revision it was made, so its apply cannot undo the
-    winner's change unseen. Both learn it by exit code and by text.
+    The second operator's folder records the revision from which it was made, so its apply cannot
+    silently undo the first one's change. Exit code and text report the conflict.
     """
     run(f"apply {folder(tmp_path / 'a', state(press=1.0))} --reason base")
     run(f"config show --to {tmp_path / 'b'}")
@@ -146,7 +146,7 @@
 
 
 def test_merged_apply_says_what_the_folder_lacks(entry: Entry, tmp_path: Path) -> None:
-    """After a merge the folder keeps its base, so that a later apply does not undo the other's."""
+    """After a merge the folder keeps its base, so a later apply keeps the other's change."""
     run(f"apply {folder(tmp_path / 'a', state(x=1.0, y=1.0))} --reason base")
     run(f"config show --to {tmp_path / 'b'}")
     run(f"apply {folder(tmp_path / 'a', state(x=2.0, y=1.0))} --reason x")
@@ -157,7 +157,7 @@
 
 
 def test_folder_without_base_is_not_applied_over_others(entry: Entry, tmp_path: Path) -> None:
-    """A folder that does not say where it comes from needs the operator's word."""
+    """An apply of a folder without a recorded base is refused unless ``--base`` is given."""
     run(f"apply {folder(tmp_path / 'a', state(press=1.0))} --reason base")
     other = folder(tmp_path / "b", state())
     code, text = run(f"apply {other} --reason mine")
@@ -189,23 +189,23 @@
 def test_exit_codes(
     entry: Entry, tmp_path: Path, outage: bool, options: str, code: ExitCode
 ) -> None:
-    """A store that is down, an entry that is down and a missing key file are told apart."""
+    """A store or entry that is down is unreachable; a missing key file is a usage error."""
     path = folder(tmp_path / "a", state())
     entry.store.outage = outage
     assert run(f"apply {path} --reason x --base 0{options}")[0] == code
 
 
 def test_job_commands(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
-    """A job is submitted, watched to its end, its results are read, and a cancel gives a reason."""
-    seen: list[tuple[str, str, bytes]] = []
+    """Submit waits for the end of a job, results are downloaded, and a cancel sends its reason."""
+    received: list[tuple[str, str, bytes]] = []
     ended = {"polls": 0}
 
     @Request.application
-    def surface(request: Request) -> Response:
+    def serve_entry(request: Request) -> Response:
         body = request.get_data() if request.mimetype == "application/json" else b""
         uploads = [each.read() for each in request.files.values()]
         reason = request.headers.get("carobspool-reason", "").encode()
-        seen.append((request.method, request.path, b"".join(uploads) or body or reason))
+        received.append((request.method, request.path, b"".join(uploads) or body or reason))
         if request.path == "/v1/files":
             return Response('{"id": "file-1"}')
         if request.path.endswith("/content"):
@@ -216,7 +216,7 @@
         job = {"id": "batch_1", "status": status, "request_counts": counts}
         return Response(json.dumps(job | {"output_file_id": "out-1", "error_file_id": None}))
 
-    server = make_server("127.0.0.1", 0, surface, threaded=True)
+    server = make_server("127.0.0.1", 0, serve_entry, threaded=True)
     thread = threading.Thread(target=server.serve_forever)
     thread.start()
     monkeypatch.setenv("CAROBSPOOL_ENTRY", f"http://127.0.0.1:{server.server_port}")
@@ -232,5 +232,5 @@
         server.shutdown()
         thread.join()
     assert target.read_text() == '{"custom_id": "1"}\n'
-    assert seen[0] == ("POST", "/v1/files", b'{"custom_id": "1"}\n')
-    assert seen[-1] == ("POST", "/v1/batches/batch_1/cancel", b"a%20mais%20n%C3%A3o")
+    assert received[0] == ("POST", "/v1/files", b'{"custom_id": "1"}\n')
+    assert received[-1] == ("POST", "/v1/batches/batch_1/cancel", b"a%20mais%20n%C3%A3o")
--- a/packages/cli/tests/test_explain.py
+++ b/packages/cli/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""``carobspool explain``: from the id of a failed request to its cause, by logs alone."""
+"""Tests of ``carobspool explain``, which finds the cause of a failure in the logs by an id."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from cleo.testers.command_tester import CommandTester
 
 from carobspool_cli._explain_command import ExplainCommand
-from carobspool_cli._timeline import read_line, timeline
+from carobspool_cli._timeline import build_timeline, parse_log_line
 
 E1 = """time=2026-01-11T10:00:00.000 level=info node=e1 event=configuration version=3 routes=2
 time=2026-01-11T10:00:03.000 level=info node=e1 event=upstream_changed upstream=i-1 deleted=True
@@ -24,14 +24,14 @@
 
 
 def test_a_line_is_read_with_its_quoted_values() -> None:
-    line = read_line(E2.splitlines()[1])
+    line = parse_log_line(E2.splitlines()[1])
     assert line is not None
     assert (line.node, line.event, line.pairs["detail"]) == ("e1", "job_call", "a b=c")
-    assert read_line("Traceback") is None
+    assert parse_log_line("Traceback") is None
 
 
 def test_a_request_is_shown_with_what_explains_it_and_nothing_else() -> None:
-    found = timeline("abc", (E1 + E2).splitlines())
+    found = build_timeline("abc", (E1 + E2).splitlines())
     assert [each.event for each in found.lines] == [
         "configuration",
         "upstream_changed",
