--- a/tests/test_import_rules.py
+++ b/tests/test_import_rules.py
@@ -1,4 +1,7 @@
-"""Who may import whom, read from the source: rooms last only while their walls are checked."""
+"""Import rules between packages and between the node's subpackages, checked on the source.
+
+The public module of a subpackage is its `__init__`; all its other modules are private.
+"""
 
 from __future__ import annotations
 
@@ -17,130 +20,132 @@
 NODE = "carobspool_node"
 NODE_SOURCE = ROOT / "packages/node/src" / NODE
 NODE_TESTS = ROOT / "packages/node/tests"
-ROOMS = frozenset(path.parent.name for path in NODE_SOURCE.glob("*/__init__.py"))
+SUBPACKAGES = frozenset(path.parent.name for path in NODE_SOURCE.glob("*/__init__.py"))
 ADAPTERS = frozenset({NODE, "carobspool_cli", "carobspool_standins", "carobspool_platform"})
-SHARED_WITH_DIRECT = frozenset({f"{NODE}.errors", f"{NODE}.organisations", f"{NODE}.settings"})
-"""All that direct entries take from the rest of the node; what stands behind these names runs on
-the users' hosts, with the libraries of deploy/requirements.txt only."""
-FACE_EXCEPTIONS = {
+ALLOWED_IN_DIRECT = frozenset({f"{NODE}.errors", f"{NODE}.organisations", f"{NODE}.settings"})
+"""Modules that direct entries may import from the rest of the node. Their code runs on the users'
+hosts, which have only the libraries of deploy/requirements.txt."""
+PRIVATE_IMPORT_EXCEPTIONS = {
     ("tests/fleet_load.py", f"{NODE}.direct._loads"): (
-        "the load of a whole fleet on the placement table, without the processes around it"
+        "puts the load of a whole fleet on the placement table, without starting processes"
     ),
     **{
         ("tests/adapter/border_cases.py", f"{NODE}.direct.{module}"): (
-            "one program plays drawn cases of the decoders of the node and of the adapter"
+            "one program runs generated cases against the decoders of the node and of the adapter"
         )
         for module in ("_job_records", "_peer_messages", "_store_relay")
     },
 }
-"""Imports of a room's private modules from outside, with the reason; keep it as short as it is."""
+"""Imports of a subpackage's private modules from outside, each with its reason; keep it short."""
 
 Import = tuple[str, str]
-"""A file, from the root, and the module that it imports."""
+"""A file, relative to the root, and the module that it imports."""
 
 
-def sources(*folders: str) -> list[Path]:
-    """Return the Python files under some folders of the repository."""
+def python_files(*folders: str) -> list[Path]:
+    """Return the Python files below the given folders of the repository."""
     return [path for folder in folders for path in sorted((ROOT / folder).rglob("*.py"))]
 
 
-def imports(paths: list[Path]) -> Iterator[Import]:
-    """Yield each file with each module that it imports, wherever in the file it does so."""
+def import_pairs(paths: list[Path]) -> Iterator[Import]:
+    """Yield each file with each module that it imports, at any level of the file."""
     for path in paths:
-        yield from ((str(path.relative_to(ROOT)), module) for module in imported(path))
+        yield from ((str(path.relative_to(ROOT)), module) for module in imported_modules(path))
 
 
 @cache
-def imported(path: Path) -> tuple[str, ...]:
+def imported_modules(path: Path) -> tuple[str, ...]:
     """Return the modules that a file imports.
 
-    ``from a import b`` counts as ``a.b`` when that is a module, so that no spelling is missed.
+    ``from a import b`` counts as ``a.b`` if that is a module, so both spellings are found.
     """
     found = []
     for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
         if isinstance(node, ast.Import):
             found += [name.name for name in node.names]
         elif isinstance(node, ast.ImportFrom):
-            module = absolute(path, node)
+            module = full_module_name(path, node)
             inner = [f"{module}.{name.name}" for name in node.names]
             found += [name if is_node_module(name) else module for name in inner]
     return tuple(found)
 
 
-def absolute(path: Path, node: ast.ImportFrom) -> str:
+def full_module_name(path: Path, node: ast.ImportFrom) -> str:
     """Return the full name of the module after ``from``."""
-    assert node.level == 0, f"{path}: relative imports hide which room is meant"
+    assert node.level == 0, f"{path}: relative imports hide which subpackage is imported"
     assert node.module is not None
     return node.module
 
 
 def is_node_module(name: str) -> bool:
-    """Tell whether a dotted name is a module of the node's package."""
+    """Return whether a dotted name is a module of the node's package."""
     package, _, rest = name.partition(".")
     place = NODE_SOURCE / rest.replace(".", "/")
     return package == NODE and (place.with_suffix(".py").exists() or place.is_dir())
 
 
-def package_of(module: str) -> str:
+def top_level_package(module: str) -> str:
     """Return the first part of a dotted name."""
     return module.partition(".")[0]
 
 
-def room_of(module: str) -> str | None:
-    """Return the room of a module of the node, or ``None``."""
+def subpackage_of(module: str) -> str | None:
+    """Return the subpackage of a module of the node, or ``None``."""
     parts = module.split(".")
-    return parts[1] if parts[0] == NODE and len(parts) > 1 and parts[1] in ROOMS else None
+    return parts[1] if parts[0] == NODE and len(parts) > 1 and parts[1] in SUBPACKAGES else None
 
 
-def room_of_file(file: str) -> str | None:
-    """Return the room in which a file stands, or ``None``."""
+def subpackage_of_file(file: str) -> str | None:
+    """Return the subpackage that contains a file, or ``None``."""
     path = ROOT / file
     if not path.is_relative_to(NODE_SOURCE):
         return None
     first = path.relative_to(NODE_SOURCE).parts[0]
-    return first if first in ROOMS else None
+    return first if first in SUBPACKAGES else None
 
 
 def is_private(module: str) -> bool:
-    """Tell whether a dotted name leads through a private module."""
+    """Return whether a dotted name contains a private module."""
     return any(part.startswith("_") and part != "__main__" for part in module.split("."))
 
 
 def test_core_imports_no_adapter() -> None:
-    """Decisions that knew an adapter could not be tested without network, threads and clock."""
-    found = imports(sources("packages/core/src"))
-    assert [each for each in found if package_of(each[1]) in ADAPTERS] == []
+    """Core logic that used an adapter could not be tested without network, threads and a clock."""
+    found = import_pairs(python_files("packages/core/src"))
+    assert [each for each in found if top_level_package(each[1]) in ADAPTERS] == []
 
 
 def test_nothing_imports_the_platform() -> None:
-    """What the users' platform calls things is known in one place; tests of it and files of its
-    deployment are outside of this."""
-    found = imports(sources("packages", "tools", "examples"))
-    assert [each for each in found if package_of(each[1]) == "carobspool_platform"] == []
+    """Only one package knows the names of the users' platform. Its own tests and the files of its
+    deployment are exempt."""
+    found = import_pairs(python_files("packages", "tools", "examples"))
+    assert [each for each in found if top_level_package(each[1]) == "carobspool_platform"] == []
 
 
-def test_rooms_are_imported_by_their_faces() -> None:
-    """Code that reaches past a face is tied to how a room is built. The node's own tests may."""
+def test_subpackages_are_imported_by_their_public_modules() -> None:
+    """Code that imports private modules depends on internals; only the node's own tests may."""
     broken = {
         (file, module)
-        for file, module in imports(sources("packages", "platform", "tests", "tools", "examples"))
-        if room_of(module) is not None
-        and room_of_file(file) != room_of(module)
+        for file, module in import_pairs(
+            python_files("packages", "platform", "tests", "tools", "examples")
+        )
+        if subpackage_of(module) is not None
+        and subpackage_of_file(file) != subpackage_of(module)
         and is_private(module)
         and not (ROOT / file).is_relative_to(NODE_TESTS)
     }
-    assert broken == set(FACE_EXCEPTIONS)
+    assert broken == set(PRIVATE_IMPORT_EXCEPTIONS)
 
 
-def test_rooms_do_not_import_their_own_face() -> None:
-    """A module that imports the face of its own room imports itself, half read."""
-    found = imports(sources("packages/node/src"))
-    own = [each for each in found if each[1] == f"{NODE}.{room_of_file(each[0])}"]
+def test_subpackages_do_not_import_their_own_public_module() -> None:
+    """A module that imports its own subpackage's public module gets it partially initialised."""
+    found = import_pairs(python_files("packages/node/src"))
+    own = [each for each in found if each[1] == f"{NODE}.{subpackage_of_file(each[0])}"]
     assert own == []
 
 
-def test_modules_of_the_node_stand_in_rooms() -> None:
-    """Beside the rooms there are only the package, its program and its errors."""
+def test_modules_of_the_node_belong_to_subpackages() -> None:
+    """Outside the subpackages there are only the package, its entry point and its errors."""
     assert {path.name for path in NODE_SOURCE.glob("*.py")} == {
         "__init__.py",
         "__main__.py",
@@ -148,19 +153,19 @@
     }
 
 
-def test_direct_entries_share_only_named_faces() -> None:
+def test_direct_entries_import_only_allowed_modules() -> None:
     """Direct entries run on the users' hosts without the libraries of the sidecar path."""
     outside = {
         module
-        for _, module in imports(sources(f"packages/node/src/{NODE}/direct"))
-        if package_of(module) == NODE and room_of(module) != "direct"
+        for _, module in import_pairs(python_files(f"packages/node/src/{NODE}/direct"))
+        if top_level_package(module) == NODE and subpackage_of(module) != "direct"
     }
-    assert outside <= SHARED_WITH_DIRECT
+    assert outside <= ALLOWED_IN_DIRECT
 
 
 def test_the_platform_process_starts_with_the_libraries_of_its_deployment() -> None:
-    """The other libraries of the node are not installed on the users' hosts: a face that loads one
-    of them for direct entries would only be noticed there, at the start of a process."""
+    """The other libraries of the node are not installed on the users' hosts: a public module that
+    imports one of them for direct entries would fail only there, at the start of a process."""
     project = tomllib.loads((ROOT / "packages/node/pyproject.toml").read_text(encoding="utf-8"))
     deployed = (ROOT / "deploy/requirements.txt").read_text(encoding="utf-8").split()
     absent = set(project["project"]["dependencies"]) - set(deployed) - {"carobspool-core"}
@@ -177,8 +182,8 @@
 
 
 def test_the_platform_process_starts_without_deriving_schemas() -> None:
-    """An entry that starts again after a crash serves nobody while it imports; the library that
-    derives schemas from models takes a third of that time."""
+    """An entry that restarts after a crash serves no requests while it imports modules; the library
+    that derives schemas from models takes a third of that time."""
     program = (
         "import sys, carobspool_platform.__main__\n"
         "assert 'pydantic_core' in sys.modules\n"
@@ -188,29 +193,29 @@
 
 
 def test_the_sidecar_path_does_not_import_direct_entries() -> None:
-    """Only the program, which starts either, knows both."""
+    """Only the entry point, which starts either kind of entry, imports both."""
     users = {
         file
-        for file, module in imports(sources("packages/node/src"))
-        if room_of(module) == "direct" and room_of_file(file) != "direct"
+        for file, module in import_pairs(python_files("packages/node/src"))
+        if subpackage_of(module) == "direct" and subpackage_of_file(file) != "direct"
     }
     assert users == {f"packages/node/src/{NODE}/__main__.py"}
 
 
-def test_rooms_form_no_cycle() -> None:
-    """Rooms that need each other are one room with two doors; code moves to where it belongs."""
-    needs: dict[str, set[str]] = {room: set() for room in ROOMS}
-    for file, module in imports(sources("packages/node/src")):
-        user, used = room_of_file(file), room_of(module)
+def test_subpackages_form_no_import_cycle() -> None:
+    """Subpackages that import each other are not separate; move the shared code to one of them."""
+    needs: dict[str, set[str]] = {subpackage: set() for subpackage in SUBPACKAGES}
+    for file, module in import_pairs(python_files("packages/node/src")):
+        user, used = subpackage_of_file(file), subpackage_of(module)
         if user is not None and used is not None and user != used:
             needs[user].add(used)
-    assert len(list(TopologicalSorter(needs).static_order())) == len(ROOMS)
+    assert len(list(TopologicalSorter(needs).static_order())) == len(SUBPACKAGES)
 
 
-def test_imports_stand_at_the_top_of_a_module() -> None:
+def test_imports_are_at_module_level() -> None:
     """An import inside a function hides a cycle until the function runs."""
     hidden = []
-    for path in sources("packages/node/src"):
+    for path in python_files("packages/node/src"):
         tree = ast.parse(path.read_text(encoding="utf-8"))
         for function in ast.walk(tree):
             if not isinstance(function, ast.FunctionDef):
@@ -223,15 +228,15 @@
     assert hidden == []
 
 
-@pytest.mark.parametrize("room", sorted(ROOMS))
-def test_a_face_says_what_belongs_there(room: str) -> None:
-    """A face has a docstring and lists its names; it holds no code of its own."""
-    tree = ast.parse((NODE_SOURCE / room / "__init__.py").read_text(encoding="utf-8"))
+@pytest.mark.parametrize("subpackage", sorted(SUBPACKAGES))
+def test_public_module_has_docstring_and_exports_only(subpackage: str) -> None:
+    """A public module has a docstring and re-exports names; it has no code of its own."""
+    tree = ast.parse((NODE_SOURCE / subpackage / "__init__.py").read_text(encoding="utf-8"))
     assert ast.get_docstring(tree)
     statements = [type(node).__name__ for node in tree.body[1:] if not _is_list_of_names(node)]
     assert set(statements) <= {"ImportFrom"}
     assert len(statements) < len(tree.body) - 1
-    modules = (path.stem for path in (NODE_SOURCE / room).glob("*.py"))
+    modules = (path.stem for path in (NODE_SOURCE / subpackage).glob("*.py"))
     assert all(name.startswith("_") for name in modules)
 
 
