--- a/tests/test_changelog.py
+++ b/tests/test_changelog.py
@@ -9,7 +9,7 @@
 
 
 def test_the_changelog_is_up_to_date() -> None:
-    """Whoever adds a fragment also builds the page."""
+    """The page is rebuilt whenever a fragment is added."""
     spec = importlib.util.spec_from_file_location("changelog", ROOT / "tools" / "changelog.py")
     assert spec is not None
     assert spec.loader is not None
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -1,7 +1,7 @@
-"""The days in `deploy/days/` are written so that they can be played on any site.
+"""The test scenarios ("days") in `deploy/days/` are valid and can be run on any site.
 
-A file with a misspelt field or kind, or one that names a site's own kind of request, service or
-failure domain, is left out by those who play it, and nobody notices that it proves nothing.
+A runner skips a file with a misspelt field or kind, or one that names a request class, service or
+failure domain of one site, so the mistake would go unnoticed and the file would test nothing.
 """
 
 from __future__ import annotations
@@ -14,30 +14,30 @@
 import pytest
 
 DAYS = Path(__file__).parents[1] / "deploy" / "days"
-FILES = sorted(DAYS.glob("*.toml"))
-OF_ORGANISATIONS = sorted(DAYS.glob("organisations/*.toml"))
-"""Days for sites whose operators declare organisations; the others refuse their kinds."""
-ALL_FILES = FILES + OF_ORGANISATIONS
+SCENARIO_FILES = sorted(DAYS.glob("*.toml"))
+ORGANISATION_FILES = sorted(DAYS.glob("organisations/*.toml"))
+"""Days for sites whose operators declare organisations; other sites refuse their kinds."""
+ALL_SCENARIO_FILES = SCENARIO_FILES + ORGANISATION_FILES
 
 
-def _words(text: str) -> frozenset[str]:
+def _split_words(text: str) -> frozenset[str]:
     return frozenset(text.split())
 
 
-PLANNED = _words(
+PLANNED_KINDS = _split_words(
     "release scale_in scale_out roll_term hup add_nodes config_change config_storm big_config"
     " retire"
 )
-"""Kinds of planned work."""
-FAULTS = _words(
+"""Kinds of planned operations."""
+FAULT_KINDS = _split_words(
     "burst srv_crash srv_slow srv_grey srv_cut answer_lost garble replace_with_reuse node_kill"
     " node_freeze node_slow node_cut herd_kill replace_core after_ack_kill after_ack_wipe"
     " clock_step core_cut platform_down platform_slow platform_lost platform_compact poison"
     " give_up reset_conns"
 )
 """Kinds of faults."""
-ORGANISATIONS_PLANNED = PLANNED | {"revoke"}
-ORGANISATIONS_FAULTS = FAULTS | {"hot_tenant"}
+ORGANISATION_PLANNED_KINDS = PLANNED_KINDS | {"revoke"}
+ORGANISATION_FAULT_KINDS = FAULT_KINDS | {"hot_tenant"}
 VARIANTS = {
     "config_change": "route weights timeout tenant quota down topup idle",
     "core_cut": "behind split all near oldest one_way seeds both lure relieve reset refuse",
@@ -59,48 +59,50 @@
     "srv_cut": "fronts some lossy one_way reset reborn across all",
     "srv_grey": "errors shed busy hang reset mute slow one_zone across all",
 }
-"""Words of `how` by kind."""
-HOST_VARIANTS = _words(
+"""Allowed words of `how` by kind."""
+HOST_VARIANTS = _split_words(
     "turn leader reader giver renewed follower power seed meet race hard drain busy"
 )
-"""Words of `how` that any kind which strikes hosts may hold."""
-HOST_KINDS = _words("node_kill node_freeze node_cut node_slow core_cut roll_term hup reset_conns")
-NUMBERS = {"at", "for_s", "gap_s", "share", "x", "count"}
+"""Words of `how` that every kind in `HOST_KINDS` allows."""
+HOST_KINDS = _split_words(
+    "node_kill node_freeze node_cut node_slow core_cut roll_term hup reset_conns"
+)
+NUMBER_FIELDS = {"at", "for_s", "gap_s", "share", "x", "count"}
 PLACEHOLDERS = {
     "class": "@c0",
     "service": "@s0",
     "zone": "@z0",
     "to_zone": "@z0",
 }
-"""Fields that name something of a site, and what stands there in a day for any site."""
-ON = {"core", "front", "side", "store"}
+"""Fields that refer to a part of a site, and the placeholder that a portable day has there."""
+ON_VALUES = {"core", "front", "side", "store"}
 DAY_FIELDS = {"name", "seed", "plan", "faults", "closing"}
 CLOSING_KINDS = {"power_off_all", "wipe_after_ack", "kill_all"}
-LENGTH_S = 34.0
-"""How long requests come on the days; what strikes later meets nothing."""
+REQUESTS_END_S = 34.0
+"""Time until which a day sends requests; a later event would not affect any request."""
 
 
-def _read(path: Path) -> dict[str, Any]:
+def _read_day(path: Path) -> dict[str, Any]:
     with path.open("rb") as file:
         return tomllib.load(file)
 
 
-def _faults_of(entry: dict[str, Any], kinds: frozenset[str]) -> list[str]:
-    """Return what is wrong with one entry of a day."""
+def _errors_in(entry: dict[str, Any], kinds: frozenset[str]) -> list[str]:
+    """Return the errors in one entry of a day."""
     kind = entry.get("kind")
     if kind not in kinds:
         return [f"kind {kind!r}"]
-    found = [
+    errors = [
         f"field {key!r}"
         for key in entry
-        if key not in NUMBERS | {*PLACEHOLDERS, "kind", "how", "on"}
+        if key not in NUMBER_FIELDS | {*PLACEHOLDERS, "kind", "how", "on"}
     ]
-    found += [
+    errors += [
         f"{key} is no number"
-        for key in NUMBERS & set(entry)
+        for key in NUMBER_FIELDS & set(entry)
         if type(entry[key]) not in (int, float)
     ]
-    found += [
+    errors += [
         f"{key} = {entry[key]!r}"
         for key, given in PLACEHOLDERS.items()
         if entry.get(key, given) != given
@@ -108,50 +110,50 @@
     allowed = set(VARIANTS.get(kind, "").split())
     if kind in HOST_KINDS:
         allowed |= HOST_VARIANTS
-    found += [f"how {word!r}" for word in entry.get("how", "").split() if word not in allowed]
+    errors += [f"how {word!r}" for word in entry.get("how", "").split() if word not in allowed]
     at = entry.get("at")
-    if type(at) not in (int, float) or not 0.0 <= at <= LENGTH_S:
-        found.append("at is missing or outside the day")
+    if type(at) not in (int, float) or not 0.0 <= at <= REQUESTS_END_S:
+        errors.append("at is missing or outside the day")
     if not 0.0 < entry.get("share", 1.0) <= 1.0:
-        found.append("share")
-    if entry.get("on", "core") not in ON:
-        found.append("on")
-    return found
+        errors.append("share")
+    if entry.get("on", "core") not in ON_VALUES:
+        errors.append("on")
+    return errors
 
 
 def test_there_are_days() -> None:
-    assert len(FILES) >= 26
-    assert len(OF_ORGANISATIONS) >= 2
+    assert len(SCENARIO_FILES) >= 26
+    assert len(ORGANISATION_FILES) >= 2
 
 
-@pytest.mark.parametrize("path", ALL_FILES, ids=lambda path: path.stem)
+@pytest.mark.parametrize("path", ALL_SCENARIO_FILES, ids=lambda path: path.stem)
 def test_a_day_holds_known_fields_and_fits_any_site(path: Path) -> None:
-    day = _read(path)
+    day = _read_day(path)
     assert set(day) <= DAY_FIELDS
     assert day["name"] == path.stem
     assert isinstance(day["seed"], int)
-    planned = ORGANISATIONS_PLANNED if path in OF_ORGANISATIONS else PLANNED
-    faults = ORGANISATIONS_FAULTS if path in OF_ORGANISATIONS else FAULTS
-    wrong = [each for entry in day.get("plan", []) for each in _faults_of(entry, planned)]
-    wrong += [each for entry in day.get("faults", []) for each in _faults_of(entry, faults)]
-    assert not wrong
+    planned = ORGANISATION_PLANNED_KINDS if path in ORGANISATION_FILES else PLANNED_KINDS
+    faults = ORGANISATION_FAULT_KINDS if path in ORGANISATION_FILES else FAULT_KINDS
+    errors = [each for entry in day.get("plan", []) for each in _errors_in(entry, planned)]
+    errors += [each for entry in day.get("faults", []) for each in _errors_in(entry, faults)]
+    assert not errors
     assert day.get("plan") or day.get("faults")
     if "closing" in day:
         assert day["closing"]["kind"] in CLOSING_KINDS
 
 
-@pytest.mark.parametrize("path", ALL_FILES, ids=lambda path: path.stem)
+@pytest.mark.parametrize("path", ALL_SCENARIO_FILES, ids=lambda path: path.stem)
 def test_a_day_says_in_its_first_line_what_it_is_for(path: Path) -> None:
     assert re.match(r"# [A-Z].{20,}\.\n", path.read_text())
 
 
 def test_seeds_differ() -> None:
-    seeds = [_read(path)["seed"] for path in ALL_FILES]
+    seeds = [_read_day(path)["seed"] for path in ALL_SCENARIO_FILES]
     assert len(set(seeds)) == len(seeds)
 
 
 @pytest.mark.parametrize(
-    ("entry", "wrong"),
+    ("entry", "expected"),
     [
         ({"kind": "srv_krash", "at": 1.0}, "kind"),
         ({"kind": "srv_crash", "at": 1.0, "for": 2.0}, "field"),
@@ -164,5 +166,5 @@
         ({"kind": "srv_crash", "at": "1"}, "at"),
     ],
 )
-def test_a_mistake_in_a_day_is_found(entry: dict[str, Any], wrong: str) -> None:
-    assert any(wrong in each for each in _faults_of(entry, FAULTS))
+def test_a_mistake_in_a_day_is_found(entry: dict[str, Any], expected: str) -> None:
+    assert any(expected in each for each in _errors_in(entry, FAULT_KINDS))
--- a/tests/test_port_choice.py
+++ b/tests/test_port_choice.py
@@ -1,4 +1,4 @@
-"""Test processes draw their ports from one set of reservations."""
+"""Deployments and clusters of tests reserve their ports in one place."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def test_deployments_and_clusters_share_no_port(tmp_path: Path) -> None:
-    """Two reservation schemes over one range give the same port to two processes at a time."""
+    """Separate reservations over one range would give the same port to two processes."""
     chooser = PortChooser()
     clusters = {chooser.choose() for _ in range(500)}
     with deployment(tmp_path) as site:
