--- a/tests/frame_proxy.py
+++ b/tests/frame_proxy.py
@@ -1,7 +1,7 @@
-"""A proxy on the connection between an entry and a sidecar that tampers with its frames.
+"""A fault-injecting proxy on the connection between an entry and a sidecar.
 
-It stands where the network stands. Seeded, it holds messages of answers back, repeats them, drops
-them, delays them, or cuts the connection.
+It reorders, duplicates, drops and delays the messages of answers, by a seeded random generator, and
+cuts connections on request.
 """
 
 from __future__ import annotations
@@ -25,7 +25,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Tampering:
-    """What happens to messages of answers; each a probability, the delay in seconds."""
+    """Faults on the messages of answers.
+
+    Attributes:
+        repeat: Probability that a message is sent twice.
+        hold_back: Probability that a message is held back and sent after later ones.
+        drop: Probability that a message is dropped.
+        delay: Maximum random delay of a frame, in seconds.
+    """
 
     repeat: float = 0.0
     hold_back: float = 0.0
@@ -34,7 +41,7 @@
 
 
 class FrameProxy:
-    """Passes frames between one sidecar and the entries that connect to it."""
+    """Forwards frames between one sidecar and the entries that connect to it."""
 
     def __init__(self, target: str, tampering: Tampering, *, seed: int) -> None:
         self._target = target
@@ -47,15 +54,15 @@
         )
         self._thread = threading.Thread(target=self._server.serve_forever, daemon=True)
         self._thread.start()
-        self.tampered = 0
+        self.tampered_messages = 0
 
     @property
     def address(self) -> str:
-        """``ip:port`` to declare in the place of the sidecar's."""
+        """``ip:port`` to declare as the address of the upstream instead of the sidecar's."""
         return f"127.0.0.1:{self._server.socket.getsockname()[1]}"
 
     def cut(self) -> None:
-        """Cut every connection without a closing handshake."""
+        """Shut every connection down without a closing handshake."""
         with self._lock:
             sockets = self._sockets
             self._sockets = []
@@ -64,7 +71,7 @@
                 each.socket.shutdown(socket.SHUT_RDWR)
 
     def close(self) -> None:
-        """Cut everything and end."""
+        """Cut every connection and stop the server."""
         self.cut()
         self._server.shutdown()
 
@@ -82,45 +89,47 @@
             return
         with self._lock:
             self._sockets += [entry, sidecar]
-        back = threading.Thread(target=self._pump_back, args=(sidecar, entry), daemon=True)
-        back.start()
+        answers_thread = threading.Thread(
+            target=self._forward_answers, args=(sidecar, entry), daemon=True
+        )
+        answers_thread.start()
         with contextlib.suppress(ConnectionClosed, OSError):
             while True:
                 sidecar.send(entry.recv())
         sidecar.close()
-        back.join(5.0)
+        answers_thread.join(5.0)
 
-    def _pump_back(self, sidecar: ClientConnection, entry: ServerConnection) -> None:
-        held: list[Message] = []
+    def _forward_answers(self, sidecar: ClientConnection, entry: ServerConnection) -> None:
+        held_back: list[Message] = []
         with contextlib.suppress(ConnectionClosed, OSError):
             while True:
                 frame = sidecar.recv()
                 assert isinstance(frame, bytes)
-                out = self._tamper(decode_frame(frame), held)
+                forwarded = self._apply_faults(decode_frame(frame), held_back)
                 if self._tampering.delay:
                     time.sleep(self._rng.random() * self._tampering.delay)
-                if out:
-                    entry.send(encode_frame(out))
+                if forwarded:
+                    entry.send(encode_frame(forwarded))
         entry.close()
 
-    def _tamper(self, messages: list[Message], held: list[Message]) -> list[Message]:
-        out: list[Message] = []
+    def _apply_faults(self, messages: list[Message], held_back: list[Message]) -> list[Message]:
+        forwarded: list[Message] = []
         for message in messages:
             if not isinstance(message, Data | Head | End):
-                out.append(message)
+                forwarded.append(message)
                 continue
-            chance = self._rng.random()
-            if chance < self._tampering.drop:
-                self.tampered += 1
+            draw = self._rng.random()
+            if draw < self._tampering.drop:
+                self.tampered_messages += 1
                 continue
-            if chance < self._tampering.drop + self._tampering.hold_back:
-                self.tampered += 1
-                held.append(message)
+            if draw < self._tampering.drop + self._tampering.hold_back:
+                self.tampered_messages += 1
+                held_back.append(message)
                 continue
-            out.append(message)
+            forwarded.append(message)
             if self._rng.random() < self._tampering.repeat:
-                self.tampered += 1
-                out.append(message)
-            if held and self._rng.random() < 0.5:
-                out.append(held.pop(self._rng.randrange(len(held))))
-        return out
+                self.tampered_messages += 1
+                forwarded.append(message)
+            if held_back and self._rng.random() < 0.5:
+                forwarded.append(held_back.pop(self._rng.randrange(len(held_back))))
+        return forwarded
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -1,7 +1,7 @@
-"""A small site as real processes on loopback, for the tests of the whole system.
+"""Harness for system tests: a small site of real processes on loopback.
 
-One place starts the platform, upstreams, sidecars and entries, and speaks to them as a caller, an
-operator or the platform would. The stand-ins' own records tell what really ran.
+It starts the stand-ins of the platform, the upstreams, the sidecars and the entries, and calls them
+as a caller, an operator or the platform does. The stand-ins' own records show which requests ran.
 """
 
 from __future__ import annotations
@@ -23,19 +23,19 @@
 SERVICE = "orders"
 ORGANISATION = "hollowbrook"
 OTHER_ORGANISATION = "tabosa"
-DOMAINS = ("leicester-hall", "nottingham-hall", "derby-hall")
+FAILURE_DOMAINS = ("leicester-hall", "nottingham-hall", "derby-hall")
 FAST_ENGINE = {"step_base_ms": 4.0, "step_stream_ms": 0.1, "step_prefill_ms": 0.01}
-READY_SECONDS = 20.0
+READY_TIMEOUT_S = 20.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Plan:
-    """What a site is made of.
+class SitePlan:
+    """Processes and settings of a site.
 
     Attributes:
         entries: Number of entries, named ``entry-1`` and so on.
         engines: Number of engines, named ``engine-1`` and so on, each with ``sidecar-N``.
-        plains: Number of plain services, named ``plain-1``, with ``sidecar-plain-N``.
+        plain_services: Number of plain services, named ``plain-1``, with ``sidecar-plain-N``.
         engine: Settings of the engines.
         entry: Settings of the entries.
         sidecar: Settings of the sidecars.
@@ -44,7 +44,7 @@
 
     entries: int = 2
     engines: int = 2
-    plains: int = 0
+    plain_services: int = 0
     engine: Mapping[str, Any] = field(default_factory=lambda: dict(FAST_ENGINE))
     entry: Mapping[str, Any] = field(default_factory=dict)
     sidecar: Mapping[str, Any] = field(default_factory=dict)
@@ -52,9 +52,9 @@
 
 
 class Site:
-    """A running site."""
+    """A running site with its keys and its last applied revision."""
 
-    def __init__(self, cluster: Cluster, plan: Plan) -> None:
+    def __init__(self, cluster: Cluster, plan: SitePlan) -> None:
         self.cluster = cluster
         self.plan = plan
         self.key = Key()
@@ -79,11 +79,11 @@
         """Return a client with the operator's key."""
         return self.cluster.client(entry, self.cluster.operator_key)
 
-    def platform(self, name: str) -> HttpClient:
-        """Return a client of a stand-in."""
+    def process_client(self, name: str) -> HttpClient:
+        """Return a client without a key for any process of the site."""
         return self.cluster.client(name)
 
-    def state(self, **sections: Any) -> dict[str, Any]:
+    def desired_state(self, **sections: Any) -> dict[str, Any]:
         """Return the site's desired state with some sections replaced."""
         state: dict[str, Any] = {
             "organisations": [{"name": ORGANISATION}, {"name": OTHER_ORGANISATION}],
@@ -113,23 +113,25 @@
                 }
             ],
         }
-        if not self.plan.plains:
+        if not self.plan.plain_services:
             state["services"] = []
         return {**state, **self.plan.state, **sections}
 
-    def apply(self, entry: str = "entry-1", **sections: Any) -> int:
-        """Apply the desired state on the last revision that this site applied."""
-        self.revision = self.cluster.apply(entry, self.state(**sections), base=self.revision)
+    def apply_state(self, entry: str = "entry-1", **sections: Any) -> int:
+        """Apply the desired state on the last applied revision and return the new one."""
+        self.revision = self.cluster.apply(
+            entry, self.desired_state(**sections), base=self.revision
+        )
         return self.revision
 
     def wait_ready(self, *entries: str) -> None:
-        """Wait until entries take requests."""
+        """Wait until the given entries, by default all, report that they are ready."""
         for entry in entries or tuple(self.entries):
-            client = self.platform(entry)
+            client = self.process_client(entry)
             self.cluster.wait_until(
                 f"{entry} ready",
                 lambda client=client: client.call("GET", "/readyz").status == 200,  # type: ignore[misc]
-                READY_SECONDS,
+                READY_TIMEOUT_S,
             )
 
     def chat(
@@ -147,7 +149,7 @@
         """Send a chat completion.
 
         Raises:
-            NoAnswer: If the connection broke before the answer was whole.
+            NoAnswer: If the connection broke before the answer was complete.
         """
         client = self.cluster.client(entry, key or self.key, timeout_ms=timeout_ms)
         body = chat_body(text, stream=stream, tokens=tokens)
@@ -155,7 +157,7 @@
             "POST", "/v1/chat/completions", json_body=body, headers=headers, on_data=on_data
         )
 
-    def submit(
+    def submit_batch(
         self,
         items: list[dict[str, Any]],
         *,
@@ -164,16 +166,16 @@
         metadata: Mapping[str, str] | None = None,
     ) -> dict[str, Any]:
         """Upload items and create their batch; return the batch object."""
-        file_id = self.upload(items, entry=entry)
+        file_id = self.upload_items(items, entry=entry)
         reply = self.create_batch(file_id, entry=entry, headers=headers, metadata=metadata)
         assert reply.status == 200, reply.text
         batch: dict[str, Any] = reply.json
         return batch
 
-    def upload(self, items: list[dict[str, Any]], *, entry: str = "entry-1") -> str:
+    def upload_items(self, items: list[dict[str, Any]], *, entry: str = "entry-1") -> str:
         """Upload items as a file and return its id."""
         content = "".join(json.dumps(item) + "\n" for item in items)
-        reply = upload(self.caller(entry), content.encode())
+        reply = upload_file(self.caller(entry), content.encode())
         assert reply.status == 200, reply.text
         return str(reply.json["id"])
 
@@ -194,53 +196,55 @@
         }
         return self.caller(entry).call("POST", "/v1/batches", json_body=body, headers=headers)
 
-    def batch(self, batch_id: str, *, entry: str = "entry-1") -> dict[str, Any]:
+    def get_batch(self, batch_id: str, *, entry: str = "entry-1") -> dict[str, Any]:
         """Return a batch object."""
         reply = self.caller(entry).call("GET", f"/v1/batches/{batch_id}")
         assert reply.status == 200, reply.text
         batch: dict[str, Any] = reply.json
         return batch
 
-    def wait_ended(
-        self, batch_id: str, *, entry: str = "entry-1", seconds: float = 60.0
+    def wait_batch_ended(
+        self, batch_id: str, *, entry: str = "entry-1", timeout_s: float = 60.0
     ) -> dict[str, Any]:
         """Wait until a batch has ended and return it."""
         ended = {"completed", "cancelled", "failed", "expired"}
         self.cluster.wait_until(
             f"{batch_id} ended",
-            lambda: self.batch(batch_id, entry=entry)["status"] in ended,
-            seconds,
+            lambda: self.get_batch(batch_id, entry=entry)["status"] in ended,
+            timeout_s,
         )
-        return self.batch(batch_id, entry=entry)
+        return self.get_batch(batch_id, entry=entry)
 
-    def content(self, file_id: str, *, entry: str = "entry-1") -> bytes:
+    def file_content(self, file_id: str, *, entry: str = "entry-1") -> bytes:
         """Return a file's content."""
         reply = self.caller(entry).call("GET", f"/v1/files/{file_id}/content")
         assert reply.status == 200, reply.text
         return reply.body
 
-    def results(self, batch: Mapping[str, Any], *, entry: str = "entry-1") -> list[dict[str, Any]]:
+    def batch_results(
+        self, batch: Mapping[str, Any], *, entry: str = "entry-1"
+    ) -> list[dict[str, Any]]:
         """Return the lines of a batch's output and error files."""
         lines: list[dict[str, Any]] = []
         for name in ("output_file_id", "error_file_id"):
             if batch[name] is None:
                 continue
-            content = self.content(batch[name], entry=entry)
+            content = self.file_content(batch[name], entry=entry)
             lines.extend(json.loads(line) for line in content.splitlines())
         return lines
 
-    def runs(self, engine: str | None = None) -> list[dict[str, Any]]:
-        """Return what the engines themselves recorded as run, over all or for one."""
+    def engine_runs(self, engine: str | None = None) -> list[dict[str, Any]]:
+        """Return the runs that one engine, by default every engine, recorded."""
         found: list[dict[str, Any]] = []
         for name in [engine] if engine else self.engines:
-            found.extend(self.platform(name).call("GET", "/record").json["runs"])
+            found.extend(self.process_client(name).call("GET", "/record").json["runs"])
         return found
 
 
 @contextmanager
-def running_site(folder: Path, plan: Plan | None = None) -> Iterator[Site]:
-    """Start a site, apply its desired state and wait until every entry takes requests."""
-    plan = plan or Plan()
+def running_site(folder: Path, plan: SitePlan | None = None) -> Iterator[Site]:
+    """Start a site, apply its desired state and wait until every entry is ready."""
+    plan = plan or SitePlan()
     with Cluster(folder) as cluster:
         site = Site(cluster, plan)
         with cluster.together():
@@ -249,9 +253,9 @@
             engines = [
                 cluster.start_engine(name, models=[MODEL], **plan.engine) for name in site.engines
             ]
-            plains = [
+            plain_services = [
                 cluster.start_plain(f"plain-{number + 1}", service=SERVICE)
-                for number in range(plan.plains)
+                for number in range(plan.plain_services)
             ]
         with cluster.together():
             for number, engine in enumerate(engines):
@@ -259,18 +263,20 @@
                     f"sidecar-{number + 1}",
                     engine,
                     models=[MODEL],
-                    failure_domain=DOMAINS[number % len(DOMAINS)],
+                    failure_domain=FAILURE_DOMAINS[number % len(FAILURE_DOMAINS)],
                     **plan.sidecar,
                 )
-            for number, plain in enumerate(plains):
+            for number, plain in enumerate(plain_services):
                 cluster.start_sidecar(
                     f"sidecar-plain-{number + 1}", plain, service=SERVICE, **plan.sidecar
                 )
             for number, entry in enumerate(site.entries):
                 cluster.start_entry(
-                    entry, failure_domain=DOMAINS[number % len(DOMAINS)], **plan.entry
+                    entry,
+                    failure_domain=FAILURE_DOMAINS[number % len(FAILURE_DOMAINS)],
+                    **plan.entry,
                 )
-        site.apply()
+        site.apply_state()
         site.wait_ready()
         yield site
 
@@ -287,7 +293,7 @@
 
 
 def batch_items(count: int, *, tokens: int = 10, name: str = "item") -> list[dict[str, Any]]:
-    """Return the lines of a batch of different short prompts."""
+    """Return the items of a batch, each with a different short prompt."""
     return [
         {
             "custom_id": f"{name}-{number}",
@@ -299,7 +305,7 @@
     ]
 
 
-def upload(client: HttpClient, content: bytes, *, purpose: str = "batch") -> Reply:
+def upload_file(client: HttpClient, content: bytes, *, purpose: str = "batch") -> Reply:
     """Upload a file as a multipart form."""
     boundary = hashlib.sha256(content).hexdigest()
     parts = (
@@ -312,8 +318,8 @@
     return client.call("POST", "/v1/files", body=body, headers=headers)
 
 
-def events(body: bytes) -> list[dict[str, Any]]:
-    """Return the JSON events of a stream; the closing ``[DONE]`` is left out."""
+def stream_events(body: bytes) -> list[dict[str, Any]]:
+    """Return the JSON events of a stream; the final ``[DONE]`` is omitted."""
     found = []
     for event in body.split(b"\n\n"):
         payload = event.removeprefix(b"data:").strip()
@@ -323,24 +329,24 @@
 
 
 def ended_clean(body: bytes) -> bool:
-    """Whether a stream ended with its closing event."""
+    """Return whether a stream ended with its final ``[DONE]`` event."""
     return body.rstrip().endswith(b"data: [DONE]")
 
 
 def stream_text(body: bytes) -> str:
     """Return the text of a chat stream."""
-    pieces = []
-    for event in events(body):
+    texts = []
+    for event in stream_events(body):
         for choice in event.get("choices", ()):
-            pieces.append(choice.get("delta", {}).get("content") or "")
-    return "".join(pieces)
+            texts.append(choice.get("delta", {}).get("content") or "")
+    return "".join(texts)
 
 
-def in_threads(calls: list[Callable[[], Any]], *, seconds: float = 90.0) -> list[Any]:
-    """Make calls at the same time and return their results.
+def run_concurrently(calls: list[Callable[[], Any]], *, timeout_s: float = 90.0) -> list[Any]:
+    """Run calls in parallel threads and return their results.
 
-    A call whose connection broke has `NoAnswer` in the place of its result. Any other exception is
-    raised here, and a call that does not end in time fails the test.
+    The result of a call whose connection broke is its `NoAnswer`. Any other exception is raised
+    again here, and a call that does not end within the timeout fails the test.
     """
     results: list[Any] = [None] * len(calls)
     errors: list[BaseException] = []
@@ -359,9 +365,9 @@
     ]
     for thread in threads:
         thread.start()
-    until = time.monotonic() + seconds
+    deadline = time.monotonic() + timeout_s
     for thread in threads:
-        thread.join(max(0.0, until - time.monotonic()))
+        thread.join(max(0.0, deadline - time.monotonic()))
     if errors:
         raise errors[0]
     assert not any(thread.is_alive() for thread in threads), "a call has not ended in time"
--- a/tests/promises/conftest.py
+++ b/tests/promises/conftest.py
@@ -1,4 +1,4 @@
-"""Names the promise of each proof in the test report, for the table of ``make test-promises``."""
+"""Records the promise of each test in the report, for the table of ``make test-promises``."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 @pytest.fixture(autouse=True)
-def _name_promise(
+def _record_promise(
     request: pytest.FixtureRequest, record_property: Callable[[str, object], None]
 ) -> None:
     marker = request.node.get_closest_marker("promise")
-    assert marker is not None, "each proof names its promise"
+    assert marker is not None, "a test in this folder has no promise marker"
     record_property("promise", marker.args[0])
--- a/tests/promises/test_at_most_once.py
+++ b/tests/promises/test_at_most_once.py
@@ -10,47 +10,51 @@
 from typing import Any
 
 import pytest
-from harness import SERVICE, Plan, Site, batch_items, chat_body, in_threads, running_site
+from harness import SERVICE, Site, SitePlan, batch_items, chat_body, run_concurrently, running_site
 from history import History, not_exactly_once, run_twice, untrue_not_run, untyped
 
 pytestmark = pytest.mark.promise("non-idempotent runs at most once")
 KEYS = 8
-ONCE = {"carobspool-idempotent": "false"}
+NON_IDEMPOTENT = {"carobspool-idempotent": "false"}
 
 
-def _keyed(number: int) -> dict[str, str]:
-    return {**ONCE, "Idempotency-Key": f"reply to poet {number}", "carobspool-timeout-ms": "5000"}
+def _headers(number: int) -> dict[str, str]:
+    return {
+        **NON_IDEMPOTENT,
+        "Idempotency-Key": f"reply to poet {number}",
+        "carobspool-timeout-ms": "5000",
+    }
 
 
-def _resends(site: Site, history: History) -> list[Callable[[], Any]]:
+def _calls_to_every_entry(site: Site, history: History) -> list[Callable[[], Any]]:
     return [
         lambda number=number, entry=entry: history.chat(  # type: ignore[misc]
-            site, f"reply {number}", entry=entry, headers=_keyed(number)
+            site, f"reply {number}", entry=entry, headers=_headers(number)
         )
         for number in range(KEYS)
         for entry in site.entries
     ]
 
 
-def _check(site: Site, history: History) -> None:
+def _assert_at_most_once(site: Site, history: History) -> None:
     digests = {call.digest for call in history.calls}
-    assert run_twice(site.runs(), digests) == []
-    assert untrue_not_run(history.calls, site.runs()) == []
+    assert run_twice(site.engine_runs(), digests) == []
+    assert untrue_not_run(history.calls, site.engine_runs()) == []
     assert untyped(history.calls) == []
 
 
 def test_resent_to_every_entry_at_once(tmp_path: Path) -> None:
-    """The caller gets the answer of the one run, or is told that it is under way."""
-    with running_site(tmp_path, Plan(entries=3)) as site:
+    """The caller gets the answer of the only run, or an error that it is still in progress."""
+    with running_site(tmp_path, SitePlan(entries=3)) as site:
         history = History()
-        in_threads(_resends(site, history))
-        _check(site, history)
+        run_concurrently(_calls_to_every_entry(site, history))
+        _assert_at_most_once(site, history)
         again = [
-            history.chat(site, f"reply {number}", entry="entry-3", headers=_keyed(number))
+            history.chat(site, f"reply {number}", entry="entry-3", headers=_headers(number))
             for number in range(KEYS)
         ]
         assert all(call.status == 200 for call in again), [call.code for call in again]
-        _check(site, history)
+        _assert_at_most_once(site, history)
 
 
 @pytest.mark.parametrize(
@@ -66,34 +70,34 @@
 def test_retried_after_each_kind_of_break(tmp_path: Path, fault: dict[str, Any]) -> None:
     """The caller resends after a failure and the request still runs at most once.
 
-    An engine breaks in turn before, within and after the answer. The caller, told "unknown" or
-    nothing at all, sends the request again to the other entry, also after the engine has recovered.
+    The engine fails before, during or after its answer. The caller, which got "unknown" or no
+    answer at all, resends through both entries, also after the engine has recovered.
     """
-    with running_site(tmp_path, Plan(engines=1)) as site:
+    with running_site(tmp_path, SitePlan(engines=1)) as site:
         history = History()
         site.cluster.faults("engine-1", **fault)
-        in_threads(_resends(site, history))
+        run_concurrently(_calls_to_every_entry(site, history))
         site.cluster.faults("engine-1")
-        in_threads(_resends(site, history))
-        _check(site, history)
+        run_concurrently(_calls_to_every_entry(site, history))
+        _assert_at_most_once(site, history)
 
 
-@pytest.mark.parametrize("deed", ["kill", "freeze"])
-def test_the_entry_that_runs_it_is_lost(tmp_path: Path, deed: str) -> None:
-    """The caller resends through another entry after the first was killed or froze.
+@pytest.mark.parametrize("fault", ["kill", "freeze"])
+def test_the_entry_that_runs_it_is_lost(tmp_path: Path, fault: str) -> None:
+    """The caller resends through another entry after the first one was killed or frozen.
 
-    The reservation stands in the store, so the other entry knows that the request may have run;
-    the frozen one wakes later and must not send what it still holds a second time.
+    The reservation is in the store, so the other entry knows that the request may have run. The
+    frozen entry resumes later and must not send its pending requests a second time.
     """
-    plan = Plan(
+    plan = SitePlan(
         engine={"step_base_ms": 40.0}, entry={"lease_ttl_ms": 2_000}, sidecar={"heartbeat_ms": 500}
     )
     with running_site(tmp_path, plan) as site:
         history = History()
 
-        def strike() -> None:
+        def inject_fault() -> None:
             time.sleep(0.25)
-            if deed == "kill":
+            if fault == "kill":
                 site.cluster.kill("entry-1")
                 return
             site.cluster.freeze("entry-1")
@@ -102,7 +106,7 @@
 
         first = [
             lambda number=number: history.chat(  # type: ignore[misc]
-                site, f"reply {number}", entry="entry-1", headers=_keyed(number), timeout_ms=8000
+                site, f"reply {number}", entry="entry-1", headers=_headers(number), timeout_ms=8000
             )
             for number in range(KEYS)
         ]
@@ -110,18 +114,18 @@
         def resend() -> None:
             time.sleep(1.0)
             for number in range(KEYS):
-                history.chat(site, f"reply {number}", entry="entry-2", headers=_keyed(number))
+                history.chat(site, f"reply {number}", entry="entry-2", headers=_headers(number))
 
-        in_threads([*first, strike, resend])
+        run_concurrently([*first, inject_fault, resend])
         time.sleep(3.0)
         for number in range(KEYS):
-            history.chat(site, f"reply {number}", entry="entry-2", headers=_keyed(number))
-        _check(site, history)
+            history.chat(site, f"reply {number}", entry="entry-2", headers=_headers(number))
+        _assert_at_most_once(site, history)
 
 
 def test_the_store_loses_its_answers(tmp_path: Path) -> None:
     """The caller gets its answer although the store's answers to reservations are lost."""
-    with running_site(tmp_path, Plan()) as site:
+    with running_site(tmp_path, SitePlan()) as site:
         history = History()
         site.cluster.faults(
             "objects",
@@ -131,39 +135,41 @@
                 "count": 40,
             },
         )
-        in_threads(_resends(site, history))
-        _check(site, history)
+        run_concurrently(_calls_to_every_entry(site, history))
+        _assert_at_most_once(site, history)
         assert any(call.status == 200 for call in history.calls)
 
 
 def test_the_store_is_down(tmp_path: Path) -> None:
-    """The caller is told at once that its request was not run and when to come back."""
-    with running_site(tmp_path, Plan()) as site:
+    """The caller immediately gets a 503 with outcome "not run" and a retry delay."""
+    with running_site(tmp_path, SitePlan()) as site:
         history = History()
         site.cluster.faults("objects", outage=True)
         calls = [
-            history.chat(site, f"reply {number}", headers=_keyed(number)) for number in range(KEYS)
+            history.chat(site, f"reply {number}", headers=_headers(number))
+            for number in range(KEYS)
         ]
         site.cluster.faults("objects")
-        _check(site, history)
+        _assert_at_most_once(site, history)
         for call in calls:
             assert call.status == 503
             assert call.outcome == "not_run"
             assert call.retry_after
             assert call.took < 2.0
         after = [
-            history.chat(site, f"reply {number}", headers=_keyed(number)) for number in range(KEYS)
+            history.chat(site, f"reply {number}", headers=_headers(number))
+            for number in range(KEYS)
         ]
         assert all(call.status == 200 for call in after)
-        _check(site, history)
+        _assert_at_most_once(site, history)
 
 
 def test_a_plain_service_call_under_a_key(tmp_path: Path) -> None:
-    """A call that may not be repeated is executed once, however often it is resent."""
-    with running_site(tmp_path, Plan(engines=0, plains=1)) as site:
+    """A non-idempotent call is executed once, however often the caller resends it."""
+    with running_site(tmp_path, SitePlan(engines=0, plain_services=1)) as site:
         history = History()
         site.cluster.faults("plain-1", delay_ms=200)
-        in_threads(
+        run_concurrently(
             [
                 lambda number=number, entry=entry: history.send(  # type: ignore[misc]
                     site.caller(entry),
@@ -177,20 +183,20 @@
                 for entry in site.entries
             ]
         )
-        runs = site.platform("plain-1").call("GET", "/record").json["runs"]
+        runs = site.process_client("plain-1").call("GET", "/record").json["runs"]
         assert run_twice(runs, {call.digest for call in history.calls}) == []
         assert len(runs) == 5
         assert untyped(history.calls) == []
 
 
-@pytest.mark.parametrize("deed", ["kill", "freeze"])
-def test_batch_items_that_run_at_most_once(tmp_path: Path, deed: str) -> None:
-    """The caller sees each item once; one that may have run under a lost owner is "unknown".
+@pytest.mark.parametrize("fault", ["kill", "freeze"])
+def test_batch_items_that_run_at_most_once(tmp_path: Path, fault: str) -> None:
+    """The caller gets each item once; one that may have run at a lost owner is "unknown".
 
-    Half of the items are marked as non-idempotent. Their owner is killed or frozen past its lease
-    in the middle; the successor does not run again what the owner had declared to start.
+    Half of the items are marked as non-idempotent. Their owner is killed, or frozen past the end of
+    its lease, during the job. Its successor does not rerun items whose start the owner recorded.
     """
-    plan = Plan(
+    plan = SitePlan(
         entries=3,
         engine={"step_base_ms": 15.0, "slots": 8},
         entry={"lease_ttl_ms": 2_000},
@@ -200,23 +206,23 @@
         items = batch_items(90, tokens=30)
         for item in items[::2]:
             item["idempotent"] = False
-        batch = site.submit(items)
+        batch = site.submit_batch(items)
         time.sleep(1.2)
-        if deed == "kill":
+        if fault == "kill":
             site.cluster.kill("entry-2")
         else:
             site.cluster.freeze("entry-2")
             time.sleep(6.0)
             site.cluster.thaw("entry-2")
-        done = site.wait_ended(batch["id"], seconds=90.0)
-        results = site.results(done)
+        done = site.wait_batch_ended(batch["id"], timeout_s=90.0)
+        results = site.batch_results(done)
         assert not_exactly_once(items, results) == []
         texts = {item["body"]["messages"][0]["content"] for item in items[::2]}
         assert _run_more_than_once(site, texts) == []
 
 
 def _run_more_than_once(site: Site, texts: set[str]) -> list[str]:
-    # A batch item runs as a stream with usage; its digest at the engine is that of this body.
+    # The engine records the digest of this body: a batch item runs as a stream with usage.
     digests: dict[str, str] = {}
     for text in texts:
         body = {
@@ -225,6 +231,6 @@
             "stream_options": {"include_usage": True},
         }
         digests[hashlib.sha256(json.dumps(body, ensure_ascii=False).encode()).hexdigest()] = text
-    runs = [run for run in site.runs() if not run["resumed"]]
+    runs = [run for run in site.engine_runs() if not run["resumed"]]
     assert any(run["digest"] in digests for run in runs)
     return run_twice(runs, digests)
--- a/tests/promises/test_configuration.py
+++ b/tests/promises/test_configuration.py
@@ -8,17 +8,17 @@
 from typing import Any
 
 import pytest
-from harness import MODEL, Plan, Site, in_threads, running_site
+from harness import MODEL, Site, SitePlan, run_concurrently, running_site
 
 from carobspool_standins._client import Reply
 
 pytestmark = pytest.mark.promise("configuration in force, never back")
-IN_FORCE_SECONDS = 5.0
-ORDERS = {"orders": {"check_ms": 200, "lease_ttl_ms": 2_000, "timeout_ms": 1_000}}
+IN_FORCE_LIMIT_S = 5.0
+ORDER_SETTINGS = {"orders": {"check_ms": 200, "lease_ttl_ms": 2_000, "timeout_ms": 1_000}}
 
 
 def _revisions(site: Site, entry: str) -> dict[str, Any]:
-    """Return the revision at an entry and, as it sees them, at each sidecar."""
+    """Return the revision of an entry and those that it reports for its sidecars."""
     reply = site.operator(entry).call("GET", "/operator/status")
     assert reply.status == 200, reply.text
     found = {entry: reply.json["revision"]}
@@ -27,14 +27,14 @@
     return found
 
 
-def _everywhere(site: Site, revision: int, entries: list[str]) -> bool:
+def _in_force_everywhere(site: Site, revision: int, entries: list[str]) -> bool:
     return all(
         at >= revision for entry in entries for at in _revisions(site, entry).values() if at
     ) and all(None not in _revisions(site, entry).values() for entry in entries)
 
 
 def _apply(site: Site, entry: str, base: int, **sections: Any) -> Reply:
-    body = {"base": base, "state": site.state(**sections), "reason": f"by {entry}"}
+    body = {"base": base, "state": site.desired_state(**sections), "reason": f"by {entry}"}
     return site.operator(entry).call("POST", "/operator/config", json_body=body)
 
 
@@ -49,28 +49,30 @@
 
 
 def test_in_force_on_every_process(tmp_path: Path) -> None:
-    """The operator sees the revision on every entry and sidecar within five seconds."""
-    with running_site(tmp_path, Plan(entries=3, engines=3)) as site:
+    """An applied revision is in force on every entry and sidecar within five seconds."""
+    with running_site(tmp_path, SitePlan(entries=3, engines=3)) as site:
         for number in range(5):
-            revision = site.apply("entry-1", organisations=_organisations(tabosa=2.0 + number))
+            revision = site.apply_state(
+                "entry-1", organisations=_organisations(tabosa=2.0 + number)
+            )
             began = time.monotonic()
             site.cluster.wait_until(
                 "in force everywhere",
-                lambda revision=revision: _everywhere(site, revision, site.entries),  # type: ignore[misc]
-                IN_FORCE_SECONDS,
+                lambda revision=revision: _in_force_everywhere(site, revision, site.entries),  # type: ignore[misc]
+                IN_FORCE_LIMIT_S,
             )
-            assert time.monotonic() - began < IN_FORCE_SECONDS
+            assert time.monotonic() - began < IN_FORCE_LIMIT_S
 
 
 def test_operators_race_on_one_base(tmp_path: Path) -> None:
-    """One operator wins; the other is told whose change stands there. Disjoint changes both hold.
+    """Of two conflicting changes one is refused with its author; disjoint changes both apply.
 
-    Three operators apply through three entries at once on the same base: two change the same
-    organisation to different weights, one adds another organisation.
+    Three operators apply concurrently through three entries on the same base: two change the weight
+    of the same organisation to different values, one adds another organisation.
     """
-    with running_site(tmp_path, Plan(entries=3, engines=1)) as site:
+    with running_site(tmp_path, SitePlan(entries=3, engines=1)) as site:
         base = site.revision
-        replies: list[Reply] = in_threads(
+        replies: list[Reply] = run_concurrently(
             [
                 lambda: _apply(site, "entry-1", base, organisations=_organisations(tabosa=5.0)),
                 lambda: _apply(site, "entry-2", base, organisations=_organisations(tabosa=7.0)),
@@ -85,7 +87,7 @@
         assert "tabosa" in refused["conflicts"][0]["subject"]
         newest = max(reply.json["revision"] for reply in replies if reply.status == 200)
         site.cluster.wait_until(
-            "in force", lambda: _everywhere(site, newest, site.entries), IN_FORCE_SECONDS
+            "in force", lambda: _in_force_everywhere(site, newest, site.entries), IN_FORCE_LIMIT_S
         )
         for entry in site.entries:
             assert _weights(site, entry)["tabosa"] in (5.0, 7.0)
@@ -93,31 +95,31 @@
 
 
 def test_the_store_is_down_right_after_the_acceptance(tmp_path: Path) -> None:
-    """The operator sees the change in force everywhere, from peer to peer, while the store is down.
+    """A change spreads from peer to peer to every process while the store is down.
 
-    An entry that is restarted during the outage starts with nothing and gets it from a peer.
+    An entry that is restarted during the outage has no configuration and gets it from a peer.
     """
-    with running_site(tmp_path, Plan(entries=3, engines=2)) as site:
-        revision = site.apply("entry-1", organisations=_organisations(tabosa=3.0))
+    with running_site(tmp_path, SitePlan(entries=3, engines=2)) as site:
+        revision = site.apply_state("entry-1", organisations=_organisations(tabosa=3.0))
         site.cluster.faults("objects", outage=True)
         site.cluster.wait_until(
             "in force without the store",
-            lambda: _everywhere(site, revision, site.entries),
-            IN_FORCE_SECONDS,
+            lambda: _in_force_everywhere(site, revision, site.entries),
+            IN_FORCE_LIMIT_S,
         )
         site.cluster.kill("entry-3")
         site.cluster.restart("entry-3")
         site.cluster.wait_until(
             "the restarted entry has it from a peer",
             lambda: _weights(site, "entry-3").get("tabosa") == 3.0,
-            IN_FORCE_SECONDS,
+            IN_FORCE_LIMIT_S,
         )
         site.cluster.faults("objects")
 
 
 def test_the_store_loses_its_answers_to_an_apply(tmp_path: Path) -> None:
-    """The operator is told that the change is accepted although the store's answers were lost."""
-    with running_site(tmp_path, Plan(entries=2, engines=1)) as site:
+    """An apply is answered as accepted although answers of the store to its writes are lost."""
+    with running_site(tmp_path, SitePlan(entries=2, engines=1)) as site:
         for prefix in ("config/parts/", "config/revisions/", "config/head"):
             site.cluster.faults(
                 "objects",
@@ -134,16 +136,16 @@
 
 
 def test_a_frozen_process_wakes_and_does_not_bring_the_past_back(tmp_path: Path) -> None:
-    """Nobody sees an old revision again after a process with an old one thawed."""
-    with running_site(tmp_path, Plan(entries=3, engines=2)) as site:
+    """No entry reverts to an old revision after a process that still has one is thawed."""
+    with running_site(tmp_path, SitePlan(entries=3, engines=2)) as site:
         site.cluster.freeze("entry-2")
         site.cluster.freeze("sidecar-2")
-        revision = site.apply("entry-1", organisations=_organisations(tabosa=9.0))
+        revision = site.apply_state("entry-1", organisations=_organisations(tabosa=9.0))
         time.sleep(2.0)
         site.cluster.thaw("entry-2")
         site.cluster.thaw("sidecar-2")
         site.cluster.wait_until(
-            "in force", lambda: _everywhere(site, revision, site.entries), IN_FORCE_SECONDS
+            "in force", lambda: _in_force_everywhere(site, revision, site.entries), IN_FORCE_LIMIT_S
         )
         for _ in range(10):
             for entry in site.entries:
@@ -153,47 +155,51 @@
 
 @pytest.mark.parametrize("checks_fencing", [True, False])
 def test_a_paused_sidecar_wakes_with_an_old_order(tmp_path: Path, checks_fencing: bool) -> None:
-    """The engine ends with what is declared, also if it ignores fencing numbers.
+    """The engine ends with the declared version, even if it ignores fencing numbers.
 
-    A sidecar is frozen while it is about to order the version of then. Another process takes its
-    place and makes a newer version true. The first one wakes with its order still in hand.
+    A sidecar is frozen before it orders the version declared at that time. Another process takes
+    its place and orders a newer version. The first sidecar is then thawed with its order pending.
     """
-    plan = Plan(
+    plan = SitePlan(
         entries=1,
         engines=1,
         engine={"step_base_ms": 4.0, "check_fence": checks_fencing, "model_load_ms": 300.0},
-        sidecar=ORDERS,
+        sidecar=ORDER_SETTINGS,
     )
     with running_site(tmp_path, plan) as site:
         cluster = site.cluster
         upstream = {**cluster.upstreams[0], "checks_fencing": checks_fencing}
-        site.apply(upstreams=[upstream], models=[{"name": MODEL, "version": "2"}])
+        site.apply_state(upstreams=[upstream], models=[{"name": MODEL, "version": "2"}])
         time.sleep(0.15)
         cluster.freeze("sidecar-1")
         successor = cluster.start_sidecar(
-            "sidecar-1b", cluster.member("engine-1"), models=[MODEL], **ORDERS
+            "sidecar-1b", cluster.member("engine-1"), models=[MODEL], **ORDER_SETTINGS
         )
         declared = {**upstream, "address": successor.address}
-        site.apply(upstreams=[declared], models=[{"name": MODEL, "version": "3"}])
-        cluster.wait_until("version 3 runs", lambda: _version(site) == ("3", "ready"), 20.0)
+        site.apply_state(upstreams=[declared], models=[{"name": MODEL, "version": "3"}])
+        cluster.wait_until(
+            "version 3 runs", lambda: _model_version_and_state(site) == ("3", "ready"), 20.0
+        )
         cluster.thaw("sidecar-1")
         time.sleep(3.0)
-        cluster.wait_until("version 3 runs", lambda: _version(site) == ("3", "ready"), 10.0)
+        cluster.wait_until(
+            "version 3 runs", lambda: _model_version_and_state(site) == ("3", "ready"), 10.0
+        )
         for _ in range(10):
-            assert _version(site)[0] == "3"
+            assert _model_version_and_state(site)[0] == "3"
             time.sleep(0.1)
 
 
-def _version(site: Site) -> tuple[str, str]:
-    models = site.platform("engine-1").call("GET", "/state").json["models"]
+def _model_version_and_state(site: Site) -> tuple[str, str]:
+    models = site.process_client("engine-1").call("GET", "/state").json["models"]
     found = models.get(MODEL, {"version": "", "state": ""})
     return found["version"], found["state"]
 
 
 def test_every_accepted_change_is_in_the_audit_trail(tmp_path: Path) -> None:
-    """The operator finds who changed what and why, on any entry, also while another is down."""
-    with running_site(tmp_path, Plan(entries=2, engines=1)) as site:
-        site.apply(organisations=_organisations(tabosa=4.0))
+    """Any entry shows who changed what and why, also while another entry is down."""
+    with running_site(tmp_path, SitePlan(entries=2, engines=1)) as site:
+        site.apply_state(organisations=_organisations(tabosa=4.0))
         drained = site.operator().call(
             "POST", "/operator/drains/engine-1", json_body={"reason": "new disk", "drain": True}
         )
--- a/tests/promises/test_crashing_request.py
+++ b/tests/promises/test_crashing_request.py
@@ -1,4 +1,4 @@
-"""A request that crashes every upstream that runs it takes down two at most."""
+"""Promise: a request that crashes every upstream that runs it crashes at most two."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from typing import Any
 
 import pytest
-from harness import Plan, Site, in_threads, running_site
+from harness import Site, SitePlan, run_concurrently, running_site
 from history import History
 
 pytestmark = pytest.mark.promise("a crashing request is isolated")
@@ -19,37 +19,37 @@
 }
 
 
-def _crashes(site: Site) -> int:
+def _crash_count(site: Site) -> int:
     return sum(
         site.cluster.log(f"sidecar-{number + 1}").count("event=upstream_down")
         for number in range(site.plan.engines)
     )
 
 
-def _arm(site: Site) -> None:
+def _crash_engines_on_marker(site: Site) -> None:
     for engine in site.engines:
         site.cluster.faults(engine, **FAULTS)
 
 
 def test_resent_through_every_entry(tmp_path: Path) -> None:
-    """The caller is refused with 422 at once, on every entry, after two upstreams at most.
+    """After at most two crashes, every entry immediately refuses the request with 422.
 
-    The caller sends the request again as soon as it fails, through all entries in turn and at
-    once. What ran beside it on the first engine is innocent and completes when sent again.
+    The caller resends the request after each failure, through all entries concurrently. Other
+    requests that ran on the crashed engines are not refused and complete when they are resent.
     """
-    with running_site(tmp_path, Plan(entries=3, engines=4)) as site:
-        _arm(site)
+    with running_site(tmp_path, SitePlan(entries=3, engines=4)) as site:
+        _crash_engines_on_marker(site)
         history = History()
         innocent = History()
 
-        def resend(entry: str) -> None:
+        def resend_until_refused(entry: str) -> None:
             for _ in range(12):
                 call = history.chat(site, MARKER, entry=entry, stream=True, tokens=50)
                 if call.status == 422:
                     return
                 time.sleep(0.25)
 
-        def bystander(number: int) -> None:
+        def resend_until_answered(number: int) -> None:
             for _ in range(20):
                 call = innocent.chat(
                     site, f"innocent {number}", entry=site.entries[number % 3], tokens=60
@@ -58,13 +58,13 @@
                     return
                 time.sleep(0.5)
 
-        in_threads(
+        run_concurrently(
             [
-                *(lambda entry=entry: resend(entry) for entry in site.entries),  # type: ignore[misc]
-                *(lambda number=number: bystander(number) for number in range(9)),  # type: ignore[misc]
+                *(lambda entry=entry: resend_until_refused(entry) for entry in site.entries),  # type: ignore[misc]
+                *(lambda number=number: resend_until_answered(number) for number in range(9)),  # type: ignore[misc]
             ]
         )
-        assert _crashes(site) <= 2
+        assert _crash_count(site) <= 2
         for entry in site.entries:
             last = history.chat(site, MARKER, entry=entry)
             assert last.status == 422, (last.status, last.code)
@@ -72,21 +72,21 @@
             assert last.outcome == "not_run"
         finished = {call.digest for call in innocent.calls if call.clean}
         assert len(finished) == 9
-        assert _crashes(site) <= 2
+        assert _crash_count(site) <= 2
         records = site.operator().call("GET", "/operator/audit").json["records"]
         assert "quarantine" in {record["kind"] for record in records}
 
 
 def test_a_restarted_entry_knows_the_quarantine(tmp_path: Path) -> None:
-    """The caller is refused with 422 also by an entry that was started after the crashes."""
-    with running_site(tmp_path, Plan(entries=2, engines=3)) as site:
-        _arm(site)
+    """An entry that is restarted after the crashes refuses the request with 422 as well."""
+    with running_site(tmp_path, SitePlan(entries=2, engines=3)) as site:
+        _crash_engines_on_marker(site)
         history = History()
         for _ in range(12):
             if history.chat(site, MARKER, stream=True).status == 422:
                 break
             time.sleep(0.5)
-        assert _crashes(site) <= 2
+        assert _crash_count(site) <= 2
         time.sleep(0.5)
         site.cluster.kill("entry-2")
         site.cluster.restart("entry-2")
@@ -96,4 +96,4 @@
             lambda: history.chat(site, MARKER, entry="entry-2").status == 422,
             5.0,
         )
-        assert _crashes(site) <= 2
+        assert _crash_count(site) <= 2
--- a/tests/promises/test_leaving.py
+++ b/tests/promises/test_leaving.py
@@ -7,16 +7,16 @@
 from pathlib import Path
 
 import pytest
-from harness import Plan, Site, running_site
+from harness import Site, SitePlan, running_site
 from history import History, untrue_not_run
 
 pytestmark = pytest.mark.promise("a leaving upstream gets nothing new")
-GRACE_MS = 3_000.0
+GRACE_PERIOD_MS = 3_000.0
 LOAD_THREADS = 6
 
 
-class _Load:
-    """Callers that send one request after another until told to stop."""
+class _RequestLoad:
+    """Threads that each send one request after another until stopped."""
 
     def __init__(self, site: Site, history: History) -> None:
         self._stop = threading.Event()
@@ -28,7 +28,7 @@
             thread.start()
 
     def stop(self) -> None:
-        """End the load."""
+        """Stop sending and wait for the threads."""
         self._stop.set()
         for thread in self._threads:
             thread.join(30.0)
@@ -42,9 +42,9 @@
             history.chat(site, f"{number}/{count}", entry=entry, tokens=5, headers=headers)
 
 
-def _started_between(site: Site, engine: str, after: float, before: float) -> list[float]:
-    """Return the starts at an engine between two instants of the wall clock, in milliseconds."""
-    starts = [float(run["started"]) for run in site.runs(engine)]
+def _starts_between(site: Site, engine: str, after: float, before: float) -> list[float]:
+    """Return the start times at an engine between two wall-clock times, in milliseconds."""
+    starts = [float(run["started"]) for run in site.engine_runs(engine)]
     return [at for at in starts if after < at < before]
 
 
@@ -52,23 +52,23 @@
     return time.time() * 1000.0
 
 
-@pytest.mark.parametrize("way", ["terminated", "drained", "frozen"])
-def test_nothing_new_after_three_seconds(tmp_path: Path, way: str) -> None:
-    """The engine behind the leaving sidecar starts nothing more three seconds later.
+@pytest.mark.parametrize("cause", ["terminated", "drained", "frozen"])
+def test_nothing_new_after_three_seconds(tmp_path: Path, cause: str) -> None:
+    """The engine behind a leaving sidecar starts no request later than three seconds afterwards.
 
-    The platform's list of hosts lags by 30 s. The sidecar is told to leave, or an operator drains
-    its host, or it freezes and never says that it leaves; it is thawed after the callers have
-    stopped, with requests still in its buffers, which must not start then.
+    The platform's list of hosts lags by 30 s. The sidecar is terminated, or an operator drains its
+    host, or it is frozen and cannot announce that it leaves. A frozen sidecar is thawed after the
+    callers have stopped, with requests still in its buffers, which must not start then.
     """
-    with running_site(tmp_path, Plan(engines=2)) as site:
-        site.platform("hosts").call("POST", "/faults", json_body={"lag_ms": 30_000})
+    with running_site(tmp_path, SitePlan(engines=2)) as site:
+        site.process_client("hosts").call("POST", "/faults", json_body={"lag_ms": 30_000})
         history = History()
-        load = _Load(site, history)
+        load = _RequestLoad(site, history)
         time.sleep(1.0)
         left_at = _now()
-        if way == "terminated":
+        if cause == "terminated":
             site.cluster.terminate("sidecar-1")
-        elif way == "drained":
+        elif cause == "drained":
             reply = site.operator().call(
                 "POST", "/operator/drains/engine-1", json_body={"reason": "test", "drain": True}
             )
@@ -76,12 +76,12 @@
         else:
             site.cluster.freeze("sidecar-1")
         time.sleep(6.0)
-        # The callers stop before the thaw, so what starts after it was sent before it.
+        # The callers stop before the thaw, so a request that starts after it was sent before it.
         load.stop()
-        if way == "frozen":
+        if cause == "frozen":
             site.cluster.thaw("sidecar-1")
             time.sleep(2.0)
-        assert _started_between(site, "engine-1", left_at + GRACE_MS, _now()) == []
-        assert untrue_not_run(history.calls, site.runs()) == []
+        assert _starts_between(site, "engine-1", left_at + GRACE_PERIOD_MS, _now()) == []
+        assert untrue_not_run(history.calls, site.engine_runs()) == []
         served = [call for call in history.calls if call.status == 200]
         assert len(served) > len(history.calls) * 0.9
--- a/tests/promises/test_not_run.py
+++ b/tests/promises/test_not_run.py
@@ -1,7 +1,7 @@
-"""Promise: when a caller is told that a request was not run, it was not run.
+"""Promise: a request that is answered with "not run" was not run.
 
-The engines' own records decide. The break falls, in turn, before the connection, in the queue, in
-the sending, after it, and in the answer.
+The tests compare the answers with the records of the stand-ins. Faults occur before the connection,
+in the queue, while the request is sent, after that, and during the answer.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from typing import Any
 
 import pytest
-from harness import SERVICE, Plan, Site, in_threads, running_site
+from harness import SERVICE, Site, SitePlan, run_concurrently, running_site
 from history import History, untrue_not_run, untyped
 
 pytestmark = pytest.mark.promise("not run is true")
@@ -29,7 +29,7 @@
 }
 
 
-def _burst(
+def _calls(
     site: Site, history: History, *, stream: bool, idempotent: bool, deadline_ms: int = 1500
 ) -> list[Callable[[], Any]]:
     headers = {"carobspool-timeout-ms": str(deadline_ms)}
@@ -49,12 +49,12 @@
 
 @pytest.mark.parametrize("fault", list(_ENGINE_FAULTS))
 def test_breaks_at_the_engine(tmp_path: Path, fault: str) -> None:
-    """The caller sees a typed failure; "not run" only where the engine has no record of a run.
+    """The caller gets a typed failure, with "not run" only if no engine recorded a run.
 
-    Both engines fail in the same way while idempotent and non-idempotent requests, streamed and
-    whole, arrive in bursts. A retry that ran elsewhere must not be forgotten in the final answer.
+    Both engines fail in the same way while idempotent and non-idempotent requests, with and without
+    streaming, arrive in bursts. The final answer must account for a retry that ran elsewhere.
     """
-    plan = Plan(engine={"step_base_ms": 4.0, "slots": 4})
+    plan = SitePlan(engine={"step_base_ms": 4.0, "slots": 4})
     with running_site(tmp_path, plan) as site:
         history = History()
         for engine in site.engines:
@@ -62,41 +62,41 @@
         calls: list[Callable[[], Any]] = []
         for stream in (False, True):
             for idempotent in (False, True):
-                calls += _burst(site, history, stream=stream, idempotent=idempotent)
-        in_threads(calls)
+                calls += _calls(site, history, stream=stream, idempotent=idempotent)
+        run_concurrently(calls)
         for engine in site.engines:
             site.cluster.faults(engine)
         time.sleep(0.5)
         assert len(history.calls) == 4 * REQUESTS
-        assert untrue_not_run(history.calls, site.runs()) == []
+        assert untrue_not_run(history.calls, site.engine_runs()) == []
         assert untyped(history.calls) == []
 
 
-@pytest.mark.parametrize("deed", ["kill", "freeze"])
-def test_the_sidecar_is_lost_with_requests_in_hand(tmp_path: Path, deed: str) -> None:
-    """The caller sees an answer or a failure typed by what is known, never an untrue "not run".
+@pytest.mark.parametrize("fault", ["kill", "freeze"])
+def test_the_sidecar_is_lost_with_requests_in_hand(tmp_path: Path, fault: str) -> None:
+    """The caller gets an answer or a failure with the known outcome, never a false "not run".
 
     One sidecar is killed, or frozen and thawed five seconds later, while requests are queued,
-    being sent, and being answered. What it had in hand may have run and is "unknown".
+    being sent, and being answered. Requests that it had accepted may have run and are "unknown".
     """
-    plan = Plan(engine={"step_base_ms": 10.0, "slots": 4})
+    plan = SitePlan(engine={"step_base_ms": 10.0, "slots": 4})
     with running_site(tmp_path, plan) as site:
         history = History()
-        calls = _burst(site, history, stream=True, idempotent=False, deadline_ms=8000)
-        calls += _burst(site, history, stream=False, idempotent=True, deadline_ms=8000)
+        calls = _calls(site, history, stream=True, idempotent=False, deadline_ms=8000)
+        calls += _calls(site, history, stream=False, idempotent=True, deadline_ms=8000)
 
-        def strike() -> None:
+        def inject_fault() -> None:
             time.sleep(0.3)
-            if deed == "kill":
+            if fault == "kill":
                 site.cluster.kill("sidecar-1")
                 return
             site.cluster.freeze("sidecar-1")
             time.sleep(5.0)
             site.cluster.thaw("sidecar-1")
 
-        in_threads([*calls, strike])
+        run_concurrently([*calls, inject_fault])
         time.sleep(1.0)
-        assert untrue_not_run(history.calls, site.runs()) == []
+        assert untrue_not_run(history.calls, site.engine_runs()) == []
         assert untyped(history.calls) == []
         assert any(call.clean for call in history.calls)
 
@@ -112,13 +112,13 @@
     ],
 )
 def test_breaks_at_a_plain_service(tmp_path: Path, fault: dict[str, Any]) -> None:
-    """A call that may not be repeated is told "not run" only if the service did not execute it."""
-    plan = Plan(entries=1, engines=0, plains=1)
+    """A non-idempotent call gets "not run" only if the service did not execute it."""
+    plan = SitePlan(entries=1, engines=0, plain_services=1)
     with running_site(tmp_path, plan) as site:
         history = History()
         site.cluster.faults("plain-1", **fault)
         headers = {"carobspool-timeout-ms": "1000", "Content-Type": "application/json"}
-        in_threads(
+        run_concurrently(
             [
                 lambda number=number: history.send(  # type: ignore[misc]
                     site.caller(),
@@ -132,7 +132,7 @@
             ]
         )
         site.cluster.faults("plain-1")
-        runs = site.platform("plain-1").call("GET", "/record").json["runs"]
+        runs = site.process_client("plain-1").call("GET", "/record").json["runs"]
         assert len(history.calls) == 8
         assert untrue_not_run(history.calls, runs) == []
         assert untyped(history.calls) == []
--- a/tests/promises/test_shutdown.py
+++ b/tests/promises/test_shutdown.py
@@ -7,28 +7,28 @@
 from pathlib import Path
 
 import pytest
-from harness import Plan, Site, batch_items, in_threads, running_site
+from harness import Site, SitePlan, batch_items, run_concurrently, running_site
 from history import History, not_exactly_once
 
 pytestmark = pytest.mark.promise("graceful shutdown cuts nothing")
-PLAN = Plan(engine={"step_base_ms": 20.0, "slots": 16}, entry={"lease_ttl_ms": 10_000})
+PLAN = SitePlan(engine={"step_base_ms": 20.0, "slots": 16}, entry={"lease_ttl_ms": 10_000})
 STREAMS = 16
 TOKENS = 120
 
 
 @pytest.mark.parametrize("process", ["entry-1", "sidecar-1"])
 def test_long_streams_are_finished(tmp_path: Path, process: str) -> None:
-    """The caller sees its whole answer; what comes later is served elsewhere or told "not run".
+    """Streams in progress complete; later requests are served elsewhere or get "not run".
 
-    A process is asked to end while long streams run through it and new requests keep coming. A
-    connection may be refused once the process listens no more; then nothing was run either.
+    A process is stopped while long streams run through it and new requests keep arriving. A
+    connection may be refused once the process has stopped listening; then nothing was run either.
     """
     with running_site(tmp_path, PLAN) as site:
         history = History()
         late = History()
         stop = threading.Event()
 
-        def newcomers() -> None:
+        def send_new_requests() -> None:
             number = 0
             while not stop.is_set():
                 number += 1
@@ -42,61 +42,61 @@
             for number in range(STREAMS)
         ]
 
-        def ask_to_end() -> None:
+        def stop_process() -> None:
             time.sleep(0.6)
             assert site.cluster.stop(process) == 0
             stop.set()
 
-        in_threads([*streams, newcomers, ask_to_end])
+        run_concurrently([*streams, send_new_requests, stop_process])
         assert all(call.clean for call in history.calls), [call.code for call in history.calls]
         assert len(history.calls) == STREAMS
         for call in late.calls:
             assert call.status in (0, 200) or call.outcome == "not_run", call
             if call.status == 0:
-                assert call.digest not in {run["digest"] for run in site.runs()}
+                assert call.digest not in {run["digest"] for run in site.engine_runs()}
 
 
 def test_claims_are_handed_over_at_once(tmp_path: Path) -> None:
-    """The caller sees the job go on at once, not when the leaving entry's lease would expire.
+    """A job continues immediately, without waiting for the stopped entry's lease to expire.
 
-    One of two entries is asked to end in the middle of a job. Its lease lasts ten seconds; the
-    other has claimed what it left long before that.
+    One of two entries is stopped during a job. Its lease lasts ten seconds; the other entry claims
+    the released items long before that.
     """
     with running_site(tmp_path, PLAN) as site:
         items = batch_items(600, tokens=20)
-        batch = site.submit(items, entry="entry-1")
+        batch = site.submit_batch(items, entry="entry-1")
         site.cluster.wait_until(
-            "half of the engines' slots run items", lambda: len(site.runs()) > 32, 20.0
+            "half of the engines' slots run items", lambda: len(site.engine_runs()) > 32, 20.0
         )
-        asked = time.monotonic()
+        stop_requested_at = time.monotonic()
         assert site.cluster.stop("entry-2") == 0
-        assert time.monotonic() - asked < 8.0
-        done = site.wait_ended(batch["id"], seconds=90.0)
-        assert not_exactly_once(items, site.results(done)) == []
-        assert _longest_silence_ms(site) < 4_000.0
+        assert time.monotonic() - stop_requested_at < 8.0
+        done = site.wait_batch_ended(batch["id"], timeout_s=90.0)
+        assert not_exactly_once(items, site.batch_results(done)) == []
+        assert _longest_gap_between_starts_ms(site) < 4_000.0
 
 
-def _longest_silence_ms(site: Site) -> float:
-    starts = sorted(float(run["started"]) for run in site.runs())
+def _longest_gap_between_starts_ms(site: Site) -> float:
+    starts = sorted(float(run["started"]) for run in site.engine_runs())
     return max(later - earlier for earlier, later in zip(starts, starts[1:], strict=False))
 
 
 def test_a_second_signal_ends_at_once(tmp_path: Path) -> None:
-    """An operator who cannot wait sends the signal twice; what was cut is in the log."""
+    """A second termination signal ends the process immediately; the log names what was cut off."""
     with running_site(tmp_path, PLAN) as site:
         history = History()
 
-        def hurry() -> None:
+        def terminate_twice() -> None:
             time.sleep(0.6)
             site.cluster.terminate("entry-1")
             time.sleep(1.5)
             site.cluster.terminate("entry-1")
             assert site.cluster.stop("entry-1", 15.0) == 0
 
-        in_threads(
+        run_concurrently(
             [
                 lambda: history.chat(site, "long", entry="entry-1", stream=True, tokens=3000),
-                hurry,
+                terminate_twice,
             ]
         )
         assert not history.calls[0].clean
--- a/tests/promises/test_whole_answer.py
+++ b/tests/promises/test_whole_answer.py
@@ -1,7 +1,8 @@
-"""Promise: each caller receives the whole answer to its own request.
+"""Promise: each caller receives the complete answer to its own request.
 
-An answer may also end with an error event or a broken connection, but never clean when it is not
-whole. The engines' answers are a pure function of the request, so each is compared with its own.
+An answer may also end with an error event or a broken connection, but an incomplete answer never
+ends cleanly. The engines' answers are a pure function of the request, so each answer is compared
+with the one expected for its request.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 import pytest
 from frame_proxy import FrameProxy, Tampering
-from harness import Plan, Site, chat_body, in_threads, running_site, stream_text
+from harness import Site, SitePlan, chat_body, run_concurrently, running_site, stream_text
 from history import History, wrong_answers
 
 from carobspool_standins._client import NoAnswer
@@ -25,10 +26,10 @@
 TOKENS = 60
 
 
-def _expected(site: Site, texts: list[str], *, stream: bool = True) -> dict[str, str]:
-    """Ask an engine directly for each answer; return the texts by digest of the request."""
+def _expected_texts(site: Site, texts: list[str], *, stream: bool = True) -> dict[str, str]:
+    """Request each answer directly from an engine; return the texts by request digest."""
     found = {}
-    client = site.platform("engine-1")
+    client = site.process_client("engine-1")
     for text in texts:
         body = json.dumps(chat_body(text, stream=stream, tokens=TOKENS)).encode()
         reply = client.call("POST", "/v1/chat/completions", body=body)
@@ -36,7 +37,7 @@
     return found
 
 
-def _streams(site: Site, history: History, texts: list[str]) -> list[Callable[[], Any]]:
+def _stream_calls(site: Site, history: History, texts: list[str]) -> list[Callable[[], Any]]:
     return [
         lambda number=number, text=text: history.chat(  # type: ignore[misc]
             site,
@@ -60,23 +61,23 @@
 def test_frames_delayed_reordered_repeated_and_lost(
     tmp_path: Path, tampering: Tampering, seed: int
 ) -> None:
-    """The caller sees its whole answer although frames of thirty streams are tampered with.
+    """Every answer is complete although messages of thirty streams are tampered with.
 
-    Messages of interleaved streams are held back past later ones, repeated, delayed or lost. The
-    entry puts them in order by their numbers and asks again for what is missing.
+    Messages of interleaved streams are reordered, repeated, delayed or lost. The entry restores the
+    order by sequence number and requests missing messages again.
     """
-    with running_site(tmp_path, Plan(engines=1)) as site:
+    with running_site(tmp_path, SitePlan(engines=1)) as site:
         proxy = FrameProxy(site.cluster.member("sidecar-1").address, tampering, seed=seed)
         upstream = {**site.cluster.upstreams[0], "address": proxy.address}
-        site.apply(upstreams=[upstream])
+        site.apply_state(upstreams=[upstream])
         site.wait_ready()
         time.sleep(1.0)
         texts = [f"stream {number}" for number in range(STREAMS)]
-        expected = _expected(site, texts)
+        expected = _expected_texts(site, texts)
         history = History()
-        in_threads(_streams(site, history, texts))
+        run_concurrently(_stream_calls(site, history, texts))
         proxy.close()
-        assert proxy.tampered > STREAMS
+        assert proxy.tampered_messages > STREAMS
         assert wrong_answers(history.calls, expected) == []
         broken = [
             (call.status, call.code, call.body[-200:]) for call in history.calls if not call.clean
@@ -85,19 +86,19 @@
 
 
 def test_a_cut_in_mid_stream(tmp_path: Path) -> None:
-    """The caller sees its whole answer across cuts of the connection behind the entry.
+    """Every answer is complete although the connection between entry and sidecar is cut.
 
-    The connection between entry and sidecar is cut twice while streams run. The entry connects
-    again and gets from the sidecar's buffer what it had missed.
+    The connection is cut twice while streams run. The entry reconnects and gets the missed messages
+    from the sidecar's buffer.
     """
-    with running_site(tmp_path, Plan(engines=1, engine={"step_base_ms": 20.0})) as site:
+    with running_site(tmp_path, SitePlan(engines=1, engine={"step_base_ms": 20.0})) as site:
         proxy = FrameProxy(site.cluster.member("sidecar-1").address, Tampering(), seed=1)
         upstream = {**site.cluster.upstreams[0], "address": proxy.address}
-        site.apply(upstreams=[upstream])
+        site.apply_state(upstreams=[upstream])
         site.wait_ready()
         time.sleep(1.0)
         texts = [f"cut {number}" for number in range(12)]
-        expected = _expected(site, texts)
+        expected = _expected_texts(site, texts)
         history = History()
 
         def cut() -> None:
@@ -105,17 +106,17 @@
                 time.sleep(0.5)
                 proxy.cut()
 
-        in_threads([*_streams(site, history, texts), cut])
+        run_concurrently([*_stream_calls(site, history, texts), cut])
         proxy.close()
         assert wrong_answers(history.calls, expected) == []
         assert sum(call.clean for call in history.calls) == len(texts)
 
 
 def test_a_slow_reader_harms_nobody(tmp_path: Path) -> None:
-    """The slow caller gets its whole answer late; the others get theirs as if it were not there."""
-    with running_site(tmp_path, Plan(entries=1, engines=1)) as site:
+    """A slow reader gets its complete answer late and does not delay the other callers."""
+    with running_site(tmp_path, SitePlan(entries=1, engines=1)) as site:
         texts = [f"reader {number}" for number in range(8)]
-        expected = _expected(site, texts)
+        expected = _expected_texts(site, texts)
         history = History()
         slow: list[bytes] = []
 
@@ -126,7 +127,7 @@
 
             site.chat(texts[0], stream=True, tokens=TOKENS, on_data=on_data)
 
-        in_threads([read_slowly, *_streams(site, history, texts[1:])])
+        run_concurrently([read_slowly, *_stream_calls(site, history, texts[1:])])
         assert wrong_answers(history.calls, expected) == []
         assert all(call.clean for call in history.calls)
         assert max(call.took for call in history.calls) < 5.0
@@ -136,10 +137,12 @@
 
 @pytest.mark.parametrize(("process", "seconds"), [("entry-1", 2.0), ("sidecar-1", 2.0)])
 def test_a_process_frozen_in_mid_stream(tmp_path: Path, process: str, seconds: float) -> None:
-    """The caller sees its whole answer, later, when a process on the way freezes and thaws."""
-    with running_site(tmp_path, Plan(entries=1, engines=1, engine={"step_base_ms": 15.0})) as site:
+    """Every answer is complete, if late, when a process on its path is frozen and thawed."""
+    with running_site(
+        tmp_path, SitePlan(entries=1, engines=1, engine={"step_base_ms": 15.0})
+    ) as site:
         texts = [f"frozen {number}" for number in range(10)]
-        expected = _expected(site, texts)
+        expected = _expected_texts(site, texts)
         history = History()
 
         def freeze() -> None:
@@ -148,7 +151,7 @@
             time.sleep(seconds)
             site.cluster.thaw(process)
 
-        in_threads([*_streams(site, history, texts), freeze])
+        run_concurrently([*_stream_calls(site, history, texts), freeze])
         assert len(history.calls) == len(texts)
         assert wrong_answers(history.calls, expected) == []
         assert sum(call.clean for call in history.calls) == len(texts)
@@ -156,29 +159,31 @@
 
 @pytest.mark.parametrize("victim", ["engine-1", "sidecar-1", "entry-1"])
 def test_a_process_killed_in_mid_stream(tmp_path: Path, victim: str) -> None:
-    """The caller sees an error event or a broken connection, never a clean end on half an answer.
+    """The caller gets an error event or a broken connection, never a clean end of a partial answer.
 
-    Streams run when an engine, its sidecar or the entry is killed. What had begun cannot be tried
-    again, because its caller has seen a part of it.
+    An engine, its sidecar or the entry is killed while streams run. A stream that has begun cannot
+    be retried, because its caller has received a part of it.
     """
-    with running_site(tmp_path, Plan(entries=1, engines=1, engine={"step_base_ms": 15.0})) as site:
+    with running_site(
+        tmp_path, SitePlan(entries=1, engines=1, engine={"step_base_ms": 15.0})
+    ) as site:
         texts = [f"killed {number}" for number in range(10)]
-        expected = _expected(site, texts)
+        expected = _expected_texts(site, texts)
         history = History()
 
         def kill() -> None:
             time.sleep(0.5)
             site.cluster.kill(victim)
 
-        in_threads([*_streams(site, history, texts), kill])
+        run_concurrently([*_stream_calls(site, history, texts), kill])
         assert len(history.calls) == len(texts)
         assert wrong_answers(history.calls, expected) == []
         assert not any(call.clean for call in history.calls)
 
 
 def test_a_truncated_plain_answer_is_an_error(tmp_path: Path) -> None:
-    """Half an answer of a plain service is told as a failure with its type, not passed on."""
-    with running_site(tmp_path, Plan(entries=1, engines=0, plains=1)) as site:
+    """A truncated answer of a plain service becomes a typed failure and is not forwarded."""
+    with running_site(tmp_path, SitePlan(entries=1, engines=0, plain_services=1)) as site:
         site.cluster.faults("plain-1", half_answer=True)
         try:
             reply = site.caller().call("GET", "/services/orders/x")
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -1,4 +1,4 @@
-"""The binary ``carobspool`` against a running site, as an operator and a caller use it."""
+"""The program ``carobspool`` against a running site, as an operator and a caller use it."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 from carobspool_cli._exit_codes import ExitCode
 
-DEAD_ENTRY = "http://127.0.0.1:1"
+UNREACHABLE_ENTRY = "http://127.0.0.1:1"
 
 
-class Shell:
+class CommandRunner:
     """Runs commands with one key against the site's entries, the first of which is down."""
 
     def __init__(self, site: Site, key: str, folder: Path) -> None:
-        entries = [site.platform(entry).base for entry in site.entries]
-        listed = ",".join([DEAD_ENTRY, *entries])
+        entries = [site.process_client(entry).base for entry in site.entries]
+        listed = ",".join([UNREACHABLE_ENTRY, *entries])
         self._environment = {"CAROBSPOOL_ENTRY": listed, "CAROBSPOOL_KEY": key}
         self._folder = folder
 
@@ -39,16 +39,16 @@
         assert done.returncode == code, done.stdout + done.stderr
         return done.stdout + done.stderr
 
-    def value(self, *arguments: str) -> Any:
+    def run_json(self, *arguments: str) -> Any:
         """Run a command with ``--json`` and return the value that it wrote."""
         return json.loads(self.run(*arguments, "--json"))
 
 
-def test_a_day_of_an_operator_and_a_caller(tmp_path: Path) -> None:
-    """Configuration, drain, a job to its end, a cancel, and the audit trail that tells it all."""
+def test_commands_of_an_operator_and_a_caller(tmp_path: Path) -> None:
+    """Configure, drain, run a job, cancel another, and find the changes in the audit trail."""
     with running_site(tmp_path / "site") as site:
-        operator = Shell(site, site.cluster.operator_key.value, tmp_path)
-        caller = Shell(site, site.key.value, tmp_path)
+        operator = CommandRunner(site, site.cluster.operator_key.value, tmp_path)
+        caller = CommandRunner(site, site.key.value, tmp_path)
         operator.run("config", "show", "--to", "state")
         operator.run("validate", "state")
         assert "no changes" in operator.run("diff", "state")
@@ -59,25 +59,25 @@
         operator.run("apply", "state", "--reason", "a new customer")
         operator.run("drain", "engine-1", "--reason", "fans")
         operator.run("drain", "engine-1", "--return", "--reason", "fans changed")
-        hosts = [each["host"] for each in operator.value("status")["upstreams"]]
+        hosts = [each["host"] for each in operator.run_json("status")["upstreams"]]
         assert hosts == ["engine-1", "engine-2"]
 
         items = tmp_path / "items.jsonl"
         items.write_text("".join(json.dumps(item) + "\n" for item in batch_items(5)))
-        job = caller.value("job", "submit", str(items), "--wait")
+        job = caller.run_json("job", "submit", str(items), "--wait")
         assert job["request_counts"] == {"total": 5, "completed": 5, "failed": 0}
         caller.run("job", "results", job["id"], "--output", "out.jsonl")
         assert len((tmp_path / "out.jsonl").read_text().splitlines()) == 5
         items.write_text(
             "".join(json.dumps(item) + "\n" for item in batch_items(400, tokens=200, name="long"))
         )
-        long = caller.value("job", "submit", str(items))
+        long = caller.run_json("job", "submit", str(items))
         caller.run("job", "cancel", long["id"], "--reason", "não é este")
         caller.run("job", "status", long["id"], "--wait", code=ExitCode.JOB_FAILED)
         caller.run("audit", code=ExitCode.REFUSED)
 
-        records = operator.value("audit", "--limit", "5")["records"]
-        told = [(each["kind"], each["reason"]) for each in records]
-        assert ("cancel", "não é este") in told
-        assert ("drain", "fans changed") in told
-        assert ("configuration", "a new customer") in told
+        records = operator.run_json("audit", "--limit", "5")["records"]
+        recorded = [(each["kind"], each["reason"]) for each in records]
+        assert ("cancel", "não é este") in recorded
+        assert ("drain", "fans changed") in recorded
+        assert ("configuration", "a new customer") in recorded
--- a/tests/test_openai_client.py
+++ b/tests/test_openai_client.py
@@ -9,7 +9,7 @@
 
 import openai
 import pytest
-from harness import MODEL, Plan, Site, batch_items, running_site
+from harness import MODEL, Site, SitePlan, batch_items, running_site
 
 from carobspool_standins._cluster import Key
 
@@ -18,16 +18,16 @@
 
 @pytest.fixture(scope="module")
 def site(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Site]:
-    """A site whose third caller may send one request a minute."""
-    with running_site(tmp_path_factory.mktemp("openai"), Plan(engines=1)) as running:
-        state = running.state()
+    """Run a site with a caller that may send one request per minute."""
+    with running_site(tmp_path_factory.mktemp("openai"), SitePlan(engines=1)) as running:
+        state = running.desired_state()
         limited = {
             "id": "limited",
             "organisation": "hollowbrook",
             "key_hashes": [LIMITED.hash],
             "limits": {"requests_per_minute": 1.0},
         }
-        running.apply(callers=[*state["callers"], limited])
+        running.apply_state(callers=[*state["callers"], limited])
         yield running
 
 
@@ -49,7 +49,7 @@
 
 
 def test_a_completion_without_stream(site: Site) -> None:
-    """A chat completion comes whole, with usage and finish reason."""
+    """A chat completion without streaming has usage and a finish reason."""
     answer = _client(site).chat.completions.create(
         model=MODEL, messages=_MESSAGES, max_tokens=12, extra_body={"min_tokens": 12}
     )
@@ -59,7 +59,7 @@
 
 
 def test_a_completion_with_stream_has_the_same_text(site: Site) -> None:
-    """The streamed answer is the unstreamed one, token by token."""
+    """The streamed chunks join to the text of the answer without streaming."""
     client = _client(site)
     whole = client.chat.completions.create(model=MODEL, messages=_MESSAGES, max_tokens=15)
     stream = client.chat.completions.create(
@@ -73,7 +73,7 @@
 
 
 def test_a_text_completion(site: Site) -> None:
-    """The older text completion works as well."""
+    """The legacy text completion endpoint works as well."""
     answer = _client(site).completions.create(model=MODEL, prompt="Once", max_tokens=5)
     assert answer.choices[0].text
 
@@ -89,7 +89,7 @@
     batch = client.batches.create(
         input_file_id=upload.id, endpoint="/v1/chat/completions", completion_window="24h"
     )
-    site.wait_ended(batch.id)
+    site.wait_batch_ended(batch.id)
     other = _client(site, entry="entry-2")
     done = other.batches.retrieve(batch.id)
     assert done.status == "completed"
@@ -104,12 +104,12 @@
 
 
 def test_a_batch_is_cancelled(site: Site) -> None:
-    """Cancelling answers at once with a status that says so, and the batch ends cancelled."""
+    """A cancel is answered with status cancelling or cancelled, and the batch ends cancelled."""
     client = _client(site)
-    batch = site.submit(batch_items(200, tokens=200, name="cancel"))
+    batch = site.submit_batch(batch_items(200, tokens=200, name="cancel"))
     cancelled = client.batches.cancel(batch["id"])
     assert cancelled.status in ("cancelling", "cancelled")
-    assert site.wait_ended(batch["id"])["status"] == "cancelled"
+    assert site.wait_batch_ended(batch["id"])["status"] == "cancelled"
 
 
 def test_each_error_has_its_exception(site: Site) -> None:
@@ -136,11 +136,11 @@
 
 
 def test_a_second_batch_under_the_same_key_conflicts(site: Site) -> None:
-    """The same key with other content is a conflict."""
+    """The same key with the same content is the same batch; with other content it conflicts."""
     client = _client(site)
     headers = {"Idempotency-Key": "batch-key"}
-    first = site.upload(batch_items(2, name="one"))
-    second = site.upload(batch_items(2, name="two"))
+    first = site.upload_items(batch_items(2, name="one"))
+    second = site.upload_items(batch_items(2, name="two"))
     made = [
         client.batches.create(
             input_file_id=first,
@@ -161,8 +161,8 @@
 
 
 def test_no_upstream_is_the_library_s_server_error(tmp_path: Path) -> None:
-    """Without an upstream the library raises its error for 503, and nothing was run."""
-    with running_site(tmp_path, Plan(entries=1, engines=1)) as site:
+    """Without an upstream the library raises its error for 503, with outcome "not run"."""
+    with running_site(tmp_path, SitePlan(entries=1, engines=1)) as site:
         site.cluster.stop("sidecar-1")
         client = _client(site)
         with pytest.raises(openai.InternalServerError) as refused:
