--- a/tests/tour.py
+++ b/tests/tour.py
@@ -1,4 +1,4 @@
-"""The steps of docs/TOUR.md: a first hour as an operator and as a caller, by the command line.
+"""The steps of docs/TOUR.md: the command line as an operator and a caller first use it.
 
 `tests/test_tour.py` runs them; ``python tests/tour.py`` runs them and writes the page.
 """
@@ -32,25 +32,25 @@
     """One command of the tour.
 
     Attributes:
-        title: What it is for, one sentence.
+        title: Purpose of the step, one sentence.
         command: Arguments of ``carobspool``; ``{job}`` and ``{long}`` stand for job ids.
-        code: Exit code that it must have.
-        shows: Texts that its output must hold.
-        before: Edit of the folder before it: file and value.
-        keep: Name under which the job id in the output is kept for later steps.
+        code: Expected exit code.
+        expected_texts: Texts that its output must contain.
+        file_to_write: File of the folder to write before the command, and its value.
+        save_job_as: Name under which later steps refer to the job id in the output; empty for none.
     """
 
     title: str
     command: tuple[str, ...]
     code: int = 0
-    shows: tuple[str, ...] = ()
-    before: tuple[str, Any] | None = None
-    keep: str = ""
+    expected_texts: tuple[str, ...] = ()
+    file_to_write: tuple[str, Any] | None = None
+    save_job_as: str = ""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Done:
-    """A step with what came of it."""
+class StepResult:
+    """A step that was run, with its exit code and output."""
 
     step: Step
     command: str
@@ -64,7 +64,7 @@
     def __init__(self, cluster: Cluster, folder: Path) -> None:
         self.cluster = cluster
         self.folder = folder
-        self.names: dict[str, str] = {}
+        self.job_ids: dict[str, str] = {}
         self._key_file = folder / "operator.key"
         self._key_file.write_text(cluster.operator_key.value, encoding="utf-8")
         self.caller = Key()
@@ -83,50 +83,50 @@
             Step(
                 title="A bad file is refused; the message names file, place, what was found and "
                 "what is allowed.",
-                before=("organisations.json", bad),
+                file_to_write=("organisations.json", bad),
                 command=("validate", site),
                 code=2,
-                shows=("organisations.json", "weight", "much"),
+                expected_texts=("organisations.json", "weight", "much"),
             ),
             Step(
                 title="Mended, the folder is good.",
-                before=("organisations.json", good),
+                file_to_write=("organisations.json", good),
                 command=("validate", site),
             ),
             Step(
                 title="Apply it as a unit, with the reason for the audit trail.",
                 command=("apply", site, "--reason", "first configuration"),
-                shows=("1",),
+                expected_texts=("1",),
             ),
             Step(
                 title="What is declared, what runs, on every upstream.",
                 command=("status",),
-                shows=("engine-1", MODEL),
+                expected_texts=("engine-1", MODEL),
             ),
             Step(
                 title="A change: see the difference, then apply it on the revision it was made on.",
-                before=("organisations.json", more),
+                file_to_write=("organisations.json", more),
                 command=("diff", site),
-                shows=(ORGANISATION,),
+                expected_texts=(ORGANISATION,),
             ),
             Step(
                 title="It is in force on every process within seconds.",
                 command=("apply", site, "--base", "1", "--reason", "more weight for proofs"),
-                shows=("2",),
+                expected_texts=("2",),
             ),
             Step(
                 title="Another operator, still on revision 1, changes the same entry and is told "
                 "whose change stands there.",
-                before=("organisations.json", other),
+                file_to_write=("organisations.json", other),
                 command=("apply", site, "--base", "1", "--reason", "racing"),
                 code=3,
-                shows=("more weight for proofs",),
+                expected_texts=("more weight for proofs",),
             ),
             Step(
                 title="Submit a job and watch it to its end.",
                 command=("job", "submit", "notes.jsonl", "--wait"),
-                shows=("completed",),
-                keep="job",
+                expected_texts=("completed",),
+                save_job_as="job",
             ),
             Step(
                 title="Read its results.",
@@ -135,12 +135,12 @@
             Step(
                 title="Submit a long one by mistake,",
                 command=("job", "submit", "long.jsonl"),
-                keep="long",
+                save_job_as="long",
             ),
             Step(
                 title="and cancel it.",
                 command=("job", "cancel", "{long}", "--reason", "wrong file"),
-                shows=("cancel",),
+                expected_texts=("cancel",),
             ),
             Step(
                 title="Drain a host; it gets nothing new from now on.",
@@ -149,7 +149,12 @@
             Step(
                 title="The audit trail tells all of it.",
                 command=("audit",),
-                shows=("first configuration", "more weight for proofs", "wrong file", "new disk"),
+                expected_texts=(
+                    "first configuration",
+                    "more weight for proofs",
+                    "wrong file",
+                    "new disk",
+                ),
             ),
             Step(
                 title="The host comes back.",
@@ -157,14 +162,14 @@
             ),
         ]
 
-    def run(self, step: Step) -> Done:
-        """Run one step."""
-        if step.before is not None:
-            name, value = step.before
+    def run(self, step: Step) -> StepResult:
+        """Write the step's file, run its command and return the result."""
+        if step.file_to_write is not None:
+            name, value = step.file_to_write
             (self.state / name).write_text(json.dumps(value, indent=2), encoding="utf-8")
-        arguments = [argument.format(**self.names) for argument in step.command]
+        arguments = [argument.format(**self.job_ids) for argument in step.command]
         binary = Path(sys.executable).parent / "carobspool"
-        found = subprocess.run(
+        completed = subprocess.run(
             [str(binary), "--no-ansi", *arguments],
             cwd=self.folder,
             env=self._environment(),
@@ -173,13 +178,15 @@
             timeout=90,
             check=False,
         )
-        output = found.stdout + found.stderr
-        if step.keep:
+        output = completed.stdout + completed.stderr
+        if step.save_job_as:
             job = re.search(r"batch_[0-9a-f]+", output)
             assert job is not None, output
-            self.names[step.keep] = job.group()
-        shown = " ".join(_quoted(argument) for argument in step.command)
-        return Done(step=step, command=f"carobspool {shown}", code=found.returncode, output=output)
+            self.job_ids[step.save_job_as] = job.group()
+        shown = " ".join(_quote_argument(argument) for argument in step.command)
+        return StepResult(
+            step=step, command=f"carobspool {shown}", code=completed.returncode, output=output
+        )
 
     def _environment(self) -> Mapping[str, str]:
         entries = ",".join(self.cluster.member(f"entry-{number}").url for number in (1, 2))
@@ -236,12 +243,12 @@
         yield Tour(cluster, folder)
 
 
-def _quoted(argument: str) -> str:
+def _quote_argument(argument: str) -> str:
     argument = argument.replace("{job}", "$JOB").replace("{long}", "$LONG")
     return f"'{argument}'" if " " in argument else argument
 
 
-def _page(done: list[Done]) -> str:
+def _page_text(done: list[StepResult]) -> str:
     lines = [
         "# A tour",
         "",
@@ -259,10 +266,10 @@
 
 
 def main() -> int:
-    """Run the tour and write the page."""
+    """Run the tour and write its transcript to the page."""
     with tempfile.TemporaryDirectory() as folder, tour_site(Path(folder)) as tour:
         done = [tour.run(step) for step in tour.steps()]
-    PAGE.write_text(_page(done), encoding="utf-8")
+    PAGE.write_text(_page_text(done), encoding="utf-8")
     return 0
 
 
