--- a/packages/core/src/carobspool_core/direct/_handover.py
+++ b/packages/core/src/carobspool_core/direct/_handover.py
@@ -39,7 +39,7 @@
     """Return whether an entry that shuts down should release its jobs now.
 
     Args:
-        successors: The other entries.
+        candidates: The other entries.
         time_left: Time until this process exits.
         silent_after: Time without a hint after which another entry may be down.
     """
--- a/packages/node/src/carobspool_node/direct/_job_runner.py
+++ b/packages/node/src/carobspool_node/direct/_job_runner.py
@@ -176,7 +176,7 @@
             self._backlog.update_peer(peer, groups, self._clock.now())
 
     def waiting_tokens(self) -> dict[str, int]:
-        """Return the tokens of unfinished items by `waiting_tokens_key`."""
+        """Return the unfinished items' tokens by route and organisation (`waiting_tokens_key`)."""
         configuration = self._configuration()
         found: dict[str, int] = {}
         if configuration is None:
