--- a/packages/node/src/carobspool_node/direct/_job_records.py
+++ b/packages/node/src/carobspool_node/direct/_job_records.py
@@ -1,8 +1,8 @@
-"""Jobs in the object store: records that may be longer than one object.
+"""Job records in the object store, which may be longer than one object.
 
-A long record is cut into pieces, which are written first; the object that names them is written
-last, so that a record is there whole or not at all. Pieces that no object names are left behind
-when a process dies in between; they are never read.
+A long record is split into pieces. They are written first and the object that names them last, so
+that a record exists completely or not at all. A process that dies in between leaves pieces that no
+object names; such pieces are never read.
 """
 
 from __future__ import annotations
@@ -36,17 +36,23 @@
 INPUTS = "jobs/"
 PROGRESS = "progress/"
 PIECES = "pieces/"
-RECORD_SHARE = 0.4
-"""Share of the store's value limit that a record or a piece may take: its text is escaped once more
-inside the object, which at worst doubles it, and the object has some fields of its own."""
+MAX_RECORD_SHARE = 0.4
+"""Share of the store's value limit that a record or a piece may occupy. Its text is escaped again
+inside the object, which doubles it in the worst case, and the object has further fields."""
 
 MAX_PIECES = 10_000
-"""Pieces that one record may name: 4 GB of text at the users' limit of a value."""
+"""Pieces that one record may name: 4 GB of text at the users' limit for the size of a value."""
 MAX_PIECE_NAME = 200
 
 
 class Segment(Struct, frozen=True, kw_only=True):
-    """Results that were moved out of a job's progress; they never change."""
+    """Results that were moved out of a job's progress into pieces; they never change.
+
+    Attributes:
+        name: Name that the pieces share.
+        pieces: Number of pieces.
+        results: Number of results in the segment.
+    """
 
     name: str
     pieces: int
@@ -54,11 +60,11 @@
 
 
 class Listing(Struct, frozen=True, kw_only=True):
-    """Every object under a prefix.
+    """All objects under a prefix.
 
     Attributes:
-        objects: By their names.
-        complete: Whether the names of all objects could be read.
+        objects: The objects by name, without the prefix.
+        complete: Whether the names of all objects were readable.
     """
 
     objects: dict[str, StoredObject]
@@ -66,7 +72,13 @@
 
 
 class StoredProgress(Struct, frozen=True, kw_only=True):
-    """A job's progress with what is needed to replace it."""
+    """A job's progress with the data needed to replace it in the store.
+
+    Attributes:
+        progress: The progress with all results.
+        segments: The segments that hold its first results.
+        version: Version of the stored object; 0 if there is none yet.
+    """
 
     progress: JobProgress
     segments: tuple[Segment, ...]
@@ -78,17 +90,19 @@
 
     Args:
         store: The object store.
-        value_limit: Longest object of the store, in bytes.
-        bad: Tells of records that are none.
+        value_limit: Size limit of an object in the store, in bytes.
+        bad_records: Logs and counts unusable records; they are only logged without it.
     """
 
-    def __init__(self, store: ObjectStore, value_limit: int, bad: BadRecords | None = None) -> None:
+    def __init__(
+        self, store: ObjectStore, value_limit: int, bad_records: BadRecords | None = None
+    ) -> None:
         self._store = store
-        self._bad = bad
-        self._limit = int(value_limit * RECORD_SHARE)
+        self._bad_records = bad_records
+        self._limit = int(value_limit * MAX_RECORD_SHARE)
 
     def create_input(self, job: JobInput) -> Result[StoredObject, StoreFailure]:
-        """Write a job as submitted; its creation is the acceptance."""
+        """Write a job as submitted; the job is accepted once this create succeeds."""
         value = job_to_json(job)
         text = json.dumps(value)
         if len(text) > self._limit:
@@ -104,10 +118,13 @@
         stored = self._store.get(INPUTS + job_id)
         if not is_successful(stored):
             return Failure(stored.failure())
-        return self.input_of(stored.unwrap())
+        return self.decode_input(stored.unwrap())
 
-    def input_of(self, stored: StoredObject) -> Result[JobInput, StoreFailure]:
-        """Return the job that an object holds or names; ``UNREADABLE`` when it is none."""
+    def decode_input(self, stored: StoredObject) -> Result[JobInput, StoreFailure]:
+        """Return the job that an object contains or whose pieces it names.
+
+        The failure is ``UNREADABLE`` if the record is not a valid job.
+        """
         try:
             value = stored.value
             if isinstance(value, dict) and "pieces" in value:
@@ -115,24 +132,24 @@
                 text = self._read_pieces(named.name, named.count)
                 if not is_successful(text):
                     return Failure(text.failure())
-                value = _json(text.unwrap())
+                value = _parse_json(text.unwrap())
             job = job_from_json(stored.key.removeprefix(INPUTS), value)
         except UnusableRecordError as error:
-            return self._unreadable(stored.key, error)
-        self._readable(stored.key)
+            return self._report_unreadable(stored.key, error)
+        self._report_readable(stored.key)
         return Success(job)
 
     def read_progress(self, job_id: str) -> Result[StoredProgress, StoreFailure]:
-        """Read a job's progress; ``NOT_FOUND`` when nothing is committed yet."""
+        """Read a job's progress; the failure is ``NOT_FOUND`` if none is committed yet."""
         stored = self._store.get(PROGRESS + job_id)
         if not is_successful(stored):
             return Failure(stored.failure())
-        return self.progress_of(stored.unwrap())
+        return self.decode_progress(stored.unwrap())
 
-    def progress_of(self, stored: StoredObject) -> Result[StoredProgress, StoreFailure]:
-        """Return the progress that an object holds, with the results it names.
+    def decode_progress(self, stored: StoredObject) -> Result[StoredProgress, StoreFailure]:
+        """Return the progress that an object contains, with the results in its segments.
 
-        ``UNREADABLE`` when it is none.
+        The failure is ``UNREADABLE`` if the record is not a valid progress.
         """
         try:
             tail = progress_from_json(stored.value)
@@ -142,10 +159,10 @@
                 text = self._read_pieces(segment.name, segment.pieces)
                 if not is_successful(text):
                     return Failure(text.failure())
-                results.extend(results_from_json(_json(text.unwrap())))
+                results.extend(results_from_json(_parse_json(text.unwrap())))
         except UnusableRecordError as error:
-            return self._unreadable(stored.key, error)
-        self._readable(stored.key)
+            return self._report_unreadable(stored.key, error)
+        self._report_readable(stored.key)
         progress = replace(tail, results=(*results, *tail.results))
         found = StoredProgress(progress=progress, segments=segments, version=stored.version)
         return Success(found)
@@ -162,9 +179,9 @@
 
         Args:
             job_id: The job.
-            progress: All of it.
-            version: What it replaces; 0 when there is none yet.
-            segments: Where its first results lie already.
+            progress: The whole progress.
+            version: Version of the stored progress to replace; 0 if there is none yet.
+            segments: Segments that already hold the first results.
         """
         kept = tuple(segments)
         value = _stored_value(progress, kept)
@@ -177,7 +194,8 @@
             kept = (*kept, Segment(name=name, pieces=count, results=len(value["results"])))
             value = _stored_value(progress, kept)
         if progress.parts and len(json.dumps(value)) > self._limit:
-            # Parts only save work after a loss; results have to fit.
+            # Parts of unfinished items only save work after the loss of the owner. They are
+            # dropped if necessary; the results have to fit.
             logging.info("event=parts_left_out job=%s parts=%d", job_id, len(progress.parts))
             value["parts"] = {}
         key = PROGRESS + job_id
@@ -191,7 +209,11 @@
         return Success(stored)
 
     def remove(self, stored: StoredObject) -> StoreFailure | None:
-        """Remove a record that is unchanged, with its pieces; return what prevented it."""
+        """Remove a record and its pieces if the record is unchanged.
+
+        Returns:
+            The failure that prevented the removal of the record, ``None`` if it was removed.
+        """
         removed = self._store.delete(stored.key, version=stored.version)
         if not is_successful(removed):
             return removed.failure()
@@ -203,14 +225,14 @@
     def _remove_piece(self, key: str) -> None:
         piece = self._store.get(key)
         if not is_successful(piece):
-            logging.info("event=piece_left key=%s fault=%s", key, piece.failure().fault)
+            logging.info("event=piece_not_removed key=%s fault=%s", key, piece.failure().fault)
             return
         removed = self._store.delete(key, version=piece.unwrap().version)
         if not is_successful(removed):
-            logging.info("event=piece_left key=%s fault=%s", key, removed.failure().fault)
+            logging.info("event=piece_not_removed key=%s fault=%s", key, removed.failure().fault)
 
     def list_all(self, prefix: str) -> Result[Listing, StoreFailure]:
-        """Return every object under a prefix, by its name."""
+        """Return all objects under a prefix, by name."""
         found: dict[str, StoredObject] = {}
         unreadable = 0
         after = ""
@@ -234,22 +256,22 @@
                 return Failure(written.failure())
         return Success((name, len(pieces)))
 
-    def _unreadable(self, key: str, error: UnusableRecordError) -> Failure[StoreFailure]:
-        if self._bad is not None:
-            self._bad.note(key, error)
+    def _report_unreadable(self, key: str, error: UnusableRecordError) -> Failure[StoreFailure]:
+        if self._bad_records is not None:
+            self._bad_records.note(key, error)
         else:
             logging.warning("event=bad_job_record key=%s reason=%r", shown(key, 80), str(error))
         return Failure(StoreFailure(fault=StoreFault.UNREADABLE, key=key, detail=str(error)))
 
-    def _readable(self, key: str) -> None:
-        if self._bad is not None:
-            self._bad.mended(key)
+    def _report_readable(self, key: str) -> None:
+        if self._bad_records is not None:
+            self._bad_records.mended(key)
 
     def _read_pieces(self, name: str, count: int) -> Result[str, StoreFailure]:
-        """Return the text of a long record.
+        """Return the text of a long record, joined from its pieces.
 
         Raises:
-            UnusableRecordError: A piece of it is none.
+            UnusableRecordError: A piece is missing or malformed.
         """
         texts: list[str] = []
         for number in range(count):
@@ -258,10 +280,11 @@
             if not is_successful(read):
                 failure = read.failure()
                 if failure.fault is StoreFault.NOT_FOUND:
-                    # Pieces are written before the object that names them and removed after it.
-                    raise _unusable(key, "no such object", "a piece of a record")
+                    # Pieces are written before the object that names them and removed after it, so
+                    # that a missing piece means a damaged record.
+                    raise _record_error(key, "no such object", "a piece of a record")
                 return Failure(failure)
-            texts.append(_text_of(key, read.unwrap()))
+            texts.append(_piece_text(key, read.unwrap()))
         return Success("".join(texts))
 
 
@@ -277,7 +300,7 @@
     count: int = field(ge=0, le=MAX_PIECES)
 
 
-def _named(value: Any) -> Any:
+def _pieces_from_list(value: Any) -> Any:
     match value:
         case [name, count]:
             return {"name": name, "count": count}
@@ -285,13 +308,13 @@
 
 
 class _LongInput(Record):
-    pieces: Annotated[_Pieces, ValidatedBy(_named, "before")]
+    pieces: Annotated[_Pieces, ValidatedBy(_pieces_from_list, "before")]
 
 
 def _segments(value: Json) -> tuple[Segment, ...]:
     listed = value.get("segments", [])
     if not isinstance(listed, list):
-        raise _unusable("segments", type(listed).__name__, "a list")
+        raise _record_error("segments", type(listed).__name__, "a list")
     found = []
     for number, each in enumerate(listed):
         match each:
@@ -300,14 +323,17 @@
             ):
                 found.append(Segment(name=name, pieces=pieces, results=results))
             case _:
-                raise _unusable(
+                raise _record_error(
                     f"segments[{number}]", type(each).__name__, "a list of name, pieces, results"
                 )
     return tuple(found)
 
 
 def _named_pieces(value: Json) -> list[tuple[str, int]]:
-    """Return the pieces that a record names; none of a record that is none."""
+    """Return the name and number of the pieces that a record references.
+
+    An unusable record yields none, and its pieces stay in the store.
+    """
     try:
         if isinstance(value, dict) and "pieces" in value:
             named = read_record(_LongInput, value).pieces
@@ -315,23 +341,23 @@
         if isinstance(value, dict):
             return [(each.name, each.pieces) for each in _segments(value)]
     except UnusableRecordError as error:
-        logging.warning("event=pieces_left reason=%r", shown(str(error), 300))
+        logging.warning("event=pieces_not_removed reason=%r", shown(str(error), 300))
     return []
 
 
-def _text_of(key: str, piece: StoredObject) -> str:
+def _piece_text(key: str, piece: StoredObject) -> str:
     text = piece.value.get("text") if isinstance(piece.value, dict) else None
     if not isinstance(text, str):
-        raise _unusable(key, type(text).__name__, "a piece of a record")
+        raise _record_error(key, type(text).__name__, "a piece of a record")
     return text
 
 
-def _json(text: str) -> Json:
+def _parse_json(text: str) -> Json:
     try:
         return json.loads(text)
     except (ValueError, RecursionError) as error:
-        raise _unusable("(pieces)", repr(error)[:80], "JSON") from error
+        raise _record_error("(pieces)", repr(error)[:80], "JSON") from error
 
 
-def _unusable(path: str, found: str, allowed: str) -> UnusableRecordError:
+def _record_error(path: str, found: str, allowed: str) -> UnusableRecordError:
     return UnusableRecordError([Problem(file="", path=path, found=found, allowed=allowed)])
