--- a/packages/core/src/carobspool_core/_admission.py
+++ b/packages/core/src/carobspool_core/_admission.py
@@ -1,19 +1,19 @@
-"""Admission of requests to one upstream: online first, batch into what is left.
-
-Load pattern: bursts of online requests over a standing backlog of batch work, before an engine that
-knows no priorities and admits in arrival order. Passed straight through, online requests wait
-behind batch prompts for seconds.
-
-- Online requests start first, in fair order over callers, and may take every slot; when no slot is
-  free a batch stream is preempted at once.
-- With no online request present, batch fills every slot; only prompts in prefill are bounded, since
-  the first request of a burst waits for the step that is under way.
-- With online requests present, streams whose KV cache is kept are resumed freely, since they need
-  no prefill, and the start of batch prompts is paced.
-- Of the requests suspected of crashing upstreams at most one runs at a time, so that a crash tells
-  which one it was.
-
-The figures behind this stand in docs/design/admission.md.
+"""Admission control for one upstream: online requests first, batch requests in the spare capacity.
+
+Load pattern: bursts of online requests on top of a permanent batch backlog, in front of an engine
+that has no priorities and admits requests in arrival order. Without admission control, online
+requests wait behind batch prompts for seconds.
+
+- Online requests start first, fairly scheduled across callers, and may use every slot. When no slot
+  is free, a batch stream is preempted immediately.
+- With no online request present, batch requests fill every slot. Only the prompts in prefill are
+  bounded, since the first request of a burst waits for the engine step in progress.
+- With online requests present, streams whose KV cache is kept are resumed without pacing, since
+  they need no prefill, and the start of batch prompts is paced.
+- At most one request suspected of crashing upstreams runs at a time, so that a crash identifies the
+  request that caused it.
+
+docs/design/admission.md has the measurements.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from returns.result import Failure as Failed
 from returns.result import Result, Success
 
-from carobspool_core._admission_steps import Dispatch
+from carobspool_core._admission_steps import SlotAllocator
 from carobspool_core._batchqueue import BatchQueue, Waiting
 from carobspool_core._clock import Clock, Millis
 from carobspool_core._config import OnlineSlowdown
@@ -44,9 +44,9 @@
 
 
 class Admission:
-    """Decides which requests run at one upstream. Made by `make_admission`.
+    """Decides which requests run at one upstream. Created by `make_admission`.
 
-    Not safe for use from several threads; its owner serialises the calls.
+    Not thread-safe; the caller must serialise all calls.
 
     Since 0.1.
     """
@@ -59,8 +59,8 @@
         self._suspects = SuspectQueue(settings.online_bounds.per_caller)
         self._batch = BatchQueue()
         self._pacer = _make_pacer(settings)
-        self._times = ServiceTime()
-        self._dispatch = Dispatch(
+        self._service_time = ServiceTime()
+        self._allocator = SlotAllocator(
             settings,
             streams=self._streams,
             online=self._online,
@@ -71,26 +71,27 @@
         self._refused: list[tuple[RequestId, Failure]] = []
 
     def reconfigure(self, settings: AdmissionSettings) -> None:
-        """Follow other slots or another target; what runs and waits stays.
+        """Apply new settings; running and waiting requests are unaffected.
 
-        The control of batch work learns its baseline anew, within seconds, when its target changed.
+        If the slots, the slowdown limit or the allowance changed, the pacer starts again without a
+        baseline and relearns it within seconds.
 
         Args:
-            settings: The settings from now on.
+            settings: The settings to use from now on.
         """
-        if _target(settings) != _target(self._settings):
+        if _pacer_target(settings) != _pacer_target(self._settings):
             self._pacer = _make_pacer(settings)
         self._settings = settings
-        self._dispatch.reconfigure(settings, self._pacer)
+        self._allocator.reconfigure(settings, self._pacer)
 
     def offer(self, work: Work) -> Result[None, Failure]:
-        """Hand in a request.
+        """Queue a request.
 
         Args:
             work: The request.
 
         Returns:
-            Nothing when it waits here from now on, or the refusal to send to its caller at once.
+            ``None`` if the request was queued, or the refusal to send to its caller immediately.
         """
         now = self._clock.now()
         waiting = Waiting(work=work, offered=now, tokens=work.resume_tokens)
@@ -101,68 +102,72 @@
             return Success(None) if self._suspects.push(waiting) else Failed(queue_full(0.0))
         if work.priority is Priority.BATCH:
             return self._batch.fresh.push(ticket, now).map(lambda _: None)
-        self._pacer.arrived(now)
-        self._online.set_rate(self._times.rate(self._settings.slots))
-        return self._online.push(ticket, now).map(self._refuse_pushed_out)
+        self._pacer.record_arrival(now)
+        self._online.set_rate(self._service_time.tokens_per_ms(self._settings.slots))
+        return self._online.push(ticket, now).map(self._refuse_evicted)
 
     def next(self, now: Millis) -> Decision:
-        """Decide what to do at ``now``; to be asked after every event and at ``wake_at``."""
-        self._refuse_late(now)
+        """Return what to do at ``now``; call it after every event and at ``wake_at``."""
+        self._refuse_expired(now)
         refuse = tuple(self._refused)
         self._refused.clear()
-        start, preempt = self._dispatch.decide(now)
+        start, preempt = self._allocator.decide(now)
         wake_at = self._wake_at(now)
         return Decision(start=start, preempt=preempt, refuse=refuse, wake_at=wake_at)
 
     def first_token(self, id: RequestId, now: Millis) -> None:
-        """Note the first token of a request since it was started."""
+        """Record the first token of a request since it was started."""
         self.token(id, now)
 
     def token(self, id: RequestId, now: Millis, count: int = 1) -> None:
-        """Note tokens of a request.
+        """Record tokens of a request.
 
         Args:
             id: The request.
-            now: When they came.
-            count: How many came together.
+            now: When the tokens arrived.
+            count: Number of tokens that arrived together.
         """
         stream = self._streams.get(id)
         if stream is None:
             return
         if stream.is_online:
-            self._time_token(stream, now, count)
-        step = self._pacer.steps.token(stream, now, count=count, prompt=stream.prefill_tokens)
+            self._record_token_time(stream, now, count)
+        step = self._pacer.steps.record_tokens(
+            stream, now, count=count, prompt=stream.prefill_tokens
+        )
         if step is not None:
-            self._pacer.step(step)
+            self._pacer.record_step(step)
         stream.tokens += count
         stream.last_token = now
         self._streams.end_prefill(stream)
 
     def finished(self, id: RequestId, now: Millis) -> None:
-        """Note that a request has ended at the upstream, well or not."""
-        stream = self._end(id, now)
+        """Record that a request has ended at the upstream, successfully or not."""
+        stream = self._remove_stream(id, now)
         if stream is not None and stream.is_online and stream.last_token is not None:
             work = stream.work
-            self._times.finished(now - stream.started, work.cost_tokens, work.prompt_tokens)
+            self._service_time.record_completion(
+                now - stream.started, work.cost_tokens, work.prompt_tokens
+            )
 
     def cancelled(self, id: RequestId, now: Millis) -> None:
-        """Note that the caller gave a request up, wherever it was."""
-        if self._end(id, now) is not None:
+        """Remove a request that its caller cancelled, whether it waits or runs."""
+        if self._remove_stream(id, now) is not None:
             return
         if self._online.remove(id) is not None or self._batch.remove(id) is not None:
             return
         self._suspects.remove(id)
 
     def preempted(self, id: RequestId, now: Millis, kept_tokens: int, kept: bool) -> None:
-        """Note that a preemption took effect; the request waits again, before fresh ones.
+        """Record that a request was preempted, and queue it again ahead of new batch requests.
 
         Args:
             id: The request.
-            now: When it was cancelled at the upstream.
-            kept_tokens: Answer tokens that it holds.
-            kept: Whether the upstream keeps its KV cache.
+            now: When the request was cancelled at the upstream.
+            kept_tokens: Number of answer tokens that it has received so far.
+            kept: Whether the upstream keeps the request's KV cache.
         """
-        stream = self._end(id, now)
+        stream = self._remove_stream(id, now)
         if stream is None:
             return
         waiting = Waiting(
@@ -178,7 +183,7 @@
         self._batch.put_back(waiting)
 
     def batch_credits(self, now: Millis) -> int:
-        """Return how many batch requests it would take beyond those that it holds."""
+        """Return how many further batch requests the entries may send."""
         settings = self._settings
         if settings.mode is not AdmissionMode.POLICY:
             held = self._streams.batch + len(self._batch)
@@ -187,7 +192,7 @@
         return max(0, settings.batch_backlog + free - len(self._batch.fresh))
 
     def snapshot(self, now: Millis) -> AdmissionSnapshot:
-        """Return the present state."""
+        """Return the current state."""
         running = sum(stream.work.cost_tokens for stream in self._streams)
         return AdmissionSnapshot(
             running_online=self._streams.online,
@@ -196,56 +201,56 @@
             queued_batch=len(self._batch),
             parked=self._batch.parked,
             tokens=int(running + self._suspects.cost + self._online.cost + self._batch.cost),
-            first_token_ewma=self._times.first_token_ewma,
-            between_tokens_ewma=self._times.between_tokens_ewma,
-            width=self._dispatch.width(now),
-            prompt_starts=self._dispatch.prompt_starts,
-            preemptions=self._dispatch.preemptions,
+            first_token_ewma=self._service_time.first_token_ewma,
+            between_tokens_ewma=self._service_time.between_tokens_ewma,
+            width=self._allocator.width(now),
+            prompt_starts=self._allocator.prompt_starts,
+            preemptions=self._allocator.preemptions,
         )
 
     def _ticket(self, waiting: Waiting, now: Millis) -> Ticket[Waiting]:
         work = waiting.work
         start_by = work.deadline
         if work.priority is Priority.ONLINE:
-            start_by -= self._times.likely_duration(work.cost_tokens, work.prompt_tokens)
+            start_by -= self._service_time.likely_duration(work.cost_tokens, work.prompt_tokens)
         return Ticket(
             id=work.id,
             caller=work.caller,
             weight=work.weight,
             cost=work.cost_tokens,
-            # A deadline shorter than the likely duration may still be met by a short answer, so
-            # the request is tried when it need not wait.
+            # A short answer may still meet a deadline shorter than the likely duration, so the
+            # request may start if it need not wait.
             start_by=max(now, start_by),
             item=waiting,
         )
 
-    def _refuse_pushed_out(self, tickets: tuple[Ticket[Waiting], ...]) -> None:
+    def _refuse_evicted(self, tickets: tuple[Ticket[Waiting], ...]) -> None:
         for ticket in tickets:
             wait = self._online.predicted_wait(ticket.caller, ticket.weight)
             self._refused.append((ticket.id, queue_full(wait)))
 
-    def _refuse_late(self, now: Millis) -> None:
-        late = [ticket.item for ticket in self._online.expire(now)]
-        late += self._batch.expire(now)
-        late += self._suspects.expire(now)
-        for waiting in late:
-            self._refused.append((waiting.work.id, _late_refusal(waiting, now)))
+    def _refuse_expired(self, now: Millis) -> None:
+        expired = [ticket.item for ticket in self._online.expire(now)]
+        expired += self._batch.expire(now)
+        expired += self._suspects.expire(now)
+        for waiting in expired:
+            self._refused.append((waiting.work.id, _expiry_refusal(waiting, now)))
 
-    def _end(self, id: RequestId, now: Millis) -> Stream | None:
+    def _remove_stream(self, id: RequestId, now: Millis) -> Stream | None:
         stream = self._streams.remove(id)
         if stream is not None and stream.is_online:
-            self._pacer.ended(id, stream.tokens)
-            self._dispatch.online_ended(now)
+            self._pacer.record_end(id, stream.tokens)
+            self._allocator.record_online_end(now)
         if len(self._streams) == 0:
-            self._pacer.steps.idle()
+            self._pacer.steps.record_idle()
         return stream
 
-    def _time_token(self, stream: Stream, now: Millis, count: int) -> None:
+    def _record_token_time(self, stream: Stream, now: Millis, count: int) -> None:
         if stream.last_token is None:
-            self._times.first_token(now - stream.offered)
-            self._pacer.harm.first_token(stream.work.id)
+            self._service_time.record_first_token(now - stream.offered)
+            self._pacer.interference.record_first_token(stream.work.id)
             return
-        self._times.between_tokens((now - stream.last_token) / count)
+        self._service_time.record_token_gap((now - stream.last_token) / count)
 
     def _wake_at(self, now: Millis) -> Millis | None:
         instants = [
@@ -254,36 +259,37 @@
             self._suspects.next_expiry(),
         ]
         if len(self._batch):
-            instants += self._dispatch.wake_at()
+            instants += self._allocator.wake_at()
         upcoming = (instant for instant in instants if instant is not None and instant > now)
         return min(upcoming, default=None)
 
 
 def make_admission(settings: AdmissionSettings, clock: Clock) -> Admission:
-    """Return the admission before one upstream.
+    """Return the admission control of one upstream.
 
     Args:
-        settings: How it decides.
-        clock: Read by `Admission.offer` alone; every other call is told the time.
+        settings: The settings.
+        clock: Read only by `Admission.offer`; all other methods receive the time as an argument.
 
     Since 0.1.
     """
     return Admission(settings, clock)
 
 
-def _late_refusal(waiting: Waiting, now: Millis) -> Failure:
+def _expiry_refusal(waiting: Waiting, now: Millis) -> Failure:
     if waiting.tokens == 0 and waiting.preemptions == 0:
         return deadline_unreachable(now - waiting.work.deadline)
-    # It was sent to the upstream before: "not run" would be untrue and let it be repeated freely.
+    # The request was sent to the upstream before. Reported as not run, it would be retried without
+    # restriction.
     return unavailable(
         "deadline_passed", "The deadline passed before the end of the answer.", outcome=Outcome.RAN
     )
 
 
-def _target(settings: AdmissionSettings) -> tuple[int, OnlineSlowdown, Millis]:
+def _pacer_target(settings: AdmissionSettings) -> tuple[int, OnlineSlowdown, Millis]:
     return settings.slots, settings.slowdown, settings.between_tokens_allowance
 
 
 def _make_pacer(settings: AdmissionSettings) -> Pacer:
-    slots, slowdown, allowance = _target(settings)
+    slots, slowdown, allowance = _pacer_target(settings)
     return Pacer(slots, slowdown, allowance)
--- a/packages/core/src/carobspool_core/_admission_steps.py
+++ b/packages/core/src/carobspool_core/_admission_steps.py
@@ -1,8 +1,9 @@
-"""Which requests start and which batch streams give way, at one instant.
+"""Selection of the requests to start and the batch streams to preempt.
 
-Load pattern: slots become free and requests arrive in any order, over batch work without end. The
-order of the rules is what keeps online requests first: suspects and online requests take free slots
-or those of batch streams, batch is narrowed to its width, and only then does batch work start.
+Load pattern: slots become free and requests arrive in any order, on top of a permanent batch
+backlog. The order of the rules gives online requests priority: suspects and online requests first
+use free slots or preempt batch streams, then the batch streams are reduced to their limit, and only
+then do batch requests start.
 """
 
 from __future__ import annotations
@@ -17,14 +18,15 @@
 from carobspool_core._victims import choose_victim
 from carobspool_core._work import AdmissionMode, AdmissionSettings
 
-_PRESENCE: Millis = 200.0
-"""Time after the last online request in which the next one is still counted on. Without it short
-requests that follow one another make the streams of a whole engine be cancelled and resumed for
-each of them; some ten steps cover that and are lost only once after a burst."""
+_ONLINE_PRESENCE: Millis = 200.0
+"""Time after the last online request during which online requests still count as present. Without
+it, each of a series of short requests would cancel and resume the batch streams of the whole
+engine. About ten steps bridge the gaps between such requests and delay batch work only once after a
+burst."""
 
 
-class Dispatch:
-    """Gives out the slots of one upstream; shares its state with the `Admission` that owns it."""
+class SlotAllocator:
+    """Assigns the slots of one upstream; shares its state with the owning `Admission`."""
 
     def __init__(
         self,
@@ -42,14 +44,14 @@
         self._suspects = suspects
         self._batch = batch
         self._pacer = pacer
-        self._present_until: Millis = 0.0
+        self._online_present_until: Millis = 0.0
         self._started: list[RequestId] = []
         self._preempted: list[RequestId] = []
         self.prompt_starts = 0
         self.preemptions = 0
 
     def reconfigure(self, settings: AdmissionSettings, pacer: Pacer) -> None:
-        """Follow other settings; what runs and waits stays."""
+        """Apply new settings; running and waiting requests are unaffected."""
         self._settings = settings
         self._pacer = pacer
 
@@ -59,22 +61,22 @@
         self._preempted = []
         self._start_suspect(now)
         self._start_online(now)
-        self._narrow(now)
+        self._preempt_excess_batch(now)
         self._start_batch(now)
         return tuple(self._started), tuple(self._preempted)
 
-    def online_ended(self, now: Millis) -> None:
-        """Note the end of an online request."""
-        self._present_until = now + _PRESENCE
+    def record_online_end(self, now: Millis) -> None:
+        """Record the end of an online request."""
+        self._online_present_until = now + _ONLINE_PRESENCE
 
     def wake_at(self) -> list[Millis]:
-        """Return the instants at which batch may start without any event."""
-        return [*self._pacer.wake_at(), self._present_until]
+        """Return the times at which batch requests may start without a further event."""
+        return [*self._pacer.wake_at(), self._online_present_until]
 
     def _start_suspect(self, now: Millis) -> None:
         if not len(self._suspects) or self._streams.suspects:
             return
-        if self._free() <= 0 and not (self._suspects.online and self._preempt_one()):
+        if self._free_slots() <= 0 and not (self._suspects.online and self._preempt_one()):
             return
         suspect = self._suspects.pop(batch=self._may_start_prompt(now))
         if suspect is not None:
@@ -85,12 +87,12 @@
             return False
         if not self._online_present(now) or not self._settings.paced:
             return True
-        return self._pacer.may_start(self._streams, now)
+        return self._pacer.may_start_prompt(self._streams, now)
 
     def _start_online(self, now: Millis) -> None:
-        straight = self._settings.mode is not AdmissionMode.POLICY
+        passthrough = self._settings.mode is not AdmissionMode.POLICY
         while len(self._online):
-            if not straight and self._free() <= 0 and not self._preempt_one():
+            if not passthrough and self._free_slots() <= 0 and not self._preempt_one():
                 return
             ticket = self._online.pop()
             if ticket is not None:
@@ -105,7 +107,7 @@
         self._preempted.append(victim.work.id)
         return True
 
-    def _narrow(self, now: Millis) -> None:
+    def _preempt_excess_batch(self, now: Millis) -> None:
         if not self._settings.keep_kv or not self._online_present(now):
             return
         while self._streams.batch > self.width(now) and self._preempt_one():
@@ -119,7 +121,7 @@
             self._start(waiting, now)
 
     def width(self, now: Millis) -> int:
-        """Return how many batch streams may run now."""
+        """Return how many batch streams may run at ``now``."""
         settings = self._settings
         if settings.mode is AdmissionMode.STRAIGHT:
             return settings.slots + settings.batch_backlog
@@ -131,26 +133,26 @@
         return width
 
     def _next_batch(self, now: Millis) -> Waiting | None:
-        parked = self._batch.take_parked()
+        parked = self._batch.pop_parked()
         if parked is not None or self._settings.mode is not AdmissionMode.POLICY:
-            return parked or self._batch.take_prompt()
+            return parked or self._batch.pop_prefill()
         if not self._online_present(now):
-            return self._next_when_quiet()
-        return self._batch.take_prompt() if self._may_start_prompt(now) else None
+            return self._next_without_online()
+        return self._batch.pop_prefill() if self._may_start_prompt(now) else None
 
-    def _next_when_quiet(self) -> Waiting | None:
-        prompt = self._batch.peek_prompt()
+    def _next_without_online(self) -> Waiting | None:
+        prompt = self._batch.peek_prefill()
         if prompt is None:
             return None
         in_prefill = self._streams.batch_prefill
         if in_prefill and in_prefill + prompt.prefill_tokens > self._settings.prefill_tokens:
             return None
-        return self._batch.take_prompt()
+        return self._batch.pop_prefill()
 
     def _online_present(self, now: Millis) -> bool:
-        return self._streams.online > 0 or len(self._online) > 0 or now < self._present_until
+        return self._streams.online > 0 or len(self._online) > 0 or now < self._online_present_until
 
-    def _free(self) -> int:
+    def _free_slots(self) -> int:
         return self._settings.slots - len(self._streams)
 
     def _start(self, waiting: Waiting, now: Millis) -> None:
@@ -163,10 +165,10 @@
             preemptions=waiting.preemptions,
         )
         self._streams.add(stream)
-        self._pacer.steps.started(now)
+        self._pacer.steps.record_start(now)
         if stream.is_online:
-            self._pacer.started(waiting.work.id, waiting.work.prompt_tokens, waiting.offered)
+            self._pacer.record_start(waiting.work.id, waiting.work.prompt_tokens, waiting.offered)
         elif stream.is_prefilling:
-            self._pacer.prompt_started(now)
+            self._pacer.record_prompt_start(now)
             self.prompt_starts += 1
         self._started.append(waiting.work.id)
--- a/packages/core/src/carobspool_core/_batchqueue.py
+++ b/packages/core/src/carobspool_core/_batchqueue.py
@@ -1,8 +1,8 @@
-"""Batch requests that wait at the sidecar: preempted ones at the front, then fresh ones.
+"""Queue of batch requests at the sidecar: preempted requests first, then new ones.
 
-Load pattern: online bursts preempt batch streams many times an hour. Without a place at the front a
-preempted request would wait behind the whole backlog while the upstream holds its KV cache, and its
-partial answer would grow old.
+Load pattern: online bursts preempt batch streams many times an hour. Queued at the back, a
+preempted request would wait behind the whole backlog while the upstream holds its KV cache, and
+its partial answer would become outdated.
 """
 
 from __future__ import annotations
@@ -17,19 +17,19 @@
 from carobspool_core._work import Work
 
 _UNBOUNDED = 1 << 30
-"""Credits bound what entries send here, so the queue itself refuses nothing."""
+"""Credits limit what entries send to the sidecar, so the queue itself refuses no request."""
 
 
 @dataclass(slots=True, kw_only=True)
 class Waiting:
-    """A request that waits.
+    """A waiting request.
 
     Attributes:
-        work: What was offered.
-        offered: When it was offered.
-        tokens: Answer tokens that it holds.
+        work: The request as offered.
+        offered: When the request was offered.
+        tokens: Number of answer tokens received so far.
         kept: Whether the upstream keeps its KV cache, so that resuming it needs no prefill.
-        preemptions: How often it was preempted.
+        preemptions: How often the request was preempted.
     """
 
     work: Work
@@ -40,61 +40,61 @@
 
     @property
     def prefill_tokens(self) -> int:
-        """Tokens to compute before its next token."""
+        """Tokens to compute before the request's next token."""
         return 0 if self.kept else self.work.prompt_tokens + self.tokens
 
 
 class BatchQueue:
-    """Waiting batch requests, in the order in which they are taken."""
+    """Waiting batch requests, in the order in which they start."""
 
     def __init__(self) -> None:
         bounds = QueueBounds(total=_UNBOUNDED, per_caller=_UNBOUNDED)
         self.fresh: FairQueue[Waiting] = make_fair_queue(bounds)
         self._parked: OrderedDict[RequestId, Waiting] = OrderedDict()
-        self._lost: OrderedDict[RequestId, Waiting] = OrderedDict()
+        self._without_kv: OrderedDict[RequestId, Waiting] = OrderedDict()
         self._preempted_cost = 0
 
     def __len__(self) -> int:
-        return len(self.fresh) + len(self._parked) + len(self._lost)
+        return len(self.fresh) + len(self._parked) + len(self._without_kv)
 
     @property
     def parked(self) -> int:
-        """Preempted requests whose KV cache is kept."""
+        """Number of preempted requests whose KV cache the upstream keeps."""
         return len(self._parked)
 
     @property
     def cost(self) -> float:
-        """Estimated tokens of all that wait."""
+        """Estimated tokens of all waiting requests."""
         return self.fresh.cost + self._preempted_cost
 
     def put_back(self, waiting: Waiting) -> None:
-        """Queue a preempted request at the front."""
-        place = self._parked if waiting.kept else self._lost
-        place[waiting.work.id] = waiting
+        """Queue a preempted request ahead of new requests."""
+        queue = self._parked if waiting.kept else self._without_kv
+        queue[waiting.work.id] = waiting
         self._preempted_cost += waiting.work.cost_tokens
 
-    def take_parked(self) -> Waiting | None:
-        """Take the parked request that has waited longest, or ``None``."""
-        return self._take_from(self._parked)
+    def pop_parked(self) -> Waiting | None:
+        """Remove and return the parked request that has waited longest, or ``None``."""
+        return self._pop_oldest(self._parked)
 
-    def peek_prompt(self) -> Waiting | None:
-        """Return the next request that needs prefill, without taking it."""
-        if self._lost:
-            return next(iter(self._lost.values()))
+    def peek_prefill(self) -> Waiting | None:
+        """Return the next request that needs prefill, without removing it, or ``None``."""
+        if self._without_kv:
+            return next(iter(self._without_kv.values()))
         ticket = self.fresh.peek()
         return None if ticket is None else ticket.item
 
-    def take_prompt(self) -> Waiting | None:
-        """Take the next request that needs prefill, or ``None``."""
-        if self._lost:
-            return self._take_from(self._lost)
+    def pop_prefill(self) -> Waiting | None:
+        """Remove and return the next request that needs prefill, or ``None``."""
+        if self._without_kv:
+            return self._pop_oldest(self._without_kv)
         ticket = self.fresh.pop()
         return None if ticket is None else ticket.item
 
     def remove(self, id: RequestId) -> Waiting | None:
-        """Take out a request whose caller gave up; ``None`` if it is not here."""
-        for place in (self._parked, self._lost):
-            waiting = place.pop(id, None)
+        """Remove and return a cancelled request; ``None`` if it is not queued here."""
+        for queue in (self._parked, self._without_kv):
+            waiting = queue.pop(id, None)
             if waiting is not None:
                 self._preempted_cost -= waiting.work.cost_tokens
                 return waiting
@@ -102,18 +102,18 @@
         return None if ticket is None else ticket.item
 
     def expire(self, now: Millis) -> list[Waiting]:
-        """Take out all requests whose deadline has passed."""
+        """Remove and return all requests whose deadline has passed."""
         expired = [ticket.item for ticket in self.fresh.expire(now)]
-        for place in (self._parked, self._lost):
-            for id in [id for id, waiting in place.items() if waiting.work.deadline < now]:
-                waiting = place.pop(id)
+        for queue in (self._parked, self._without_kv):
+            for id in [id for id, waiting in queue.items() if waiting.work.deadline < now]:
+                waiting = queue.pop(id)
                 self._preempted_cost -= waiting.work.cost_tokens
                 expired.append(waiting)
         return expired
 
-    def _take_from(self, place: OrderedDict[RequestId, Waiting]) -> Waiting | None:
-        if not place:
+    def _pop_oldest(self, queue: OrderedDict[RequestId, Waiting]) -> Waiting | None:
+        if not queue:
             return None
-        _, waiting = place.popitem(last=False)
+        _, waiting = queue.popitem(last=False)
         self._preempted_cost -= waiting.work.cost_tokens
         return waiting
--- a/packages/core/src/carobspool_core/_pacing.py
+++ b/packages/core/src/carobspool_core/_pacing.py
@@ -1,160 +1,167 @@
-"""How many batch streams run, and when a batch prompt starts, while online requests are present.
+"""Control of batch concurrency and batch prompt starts while online requests are present.
 
-Load pattern: online bursts over a standing backlog of batch work. A decoding batch stream slows an
+Load pattern: online bursts on top of a permanent batch backlog. A decoding batch stream delays an
 online token by a fraction of a millisecond; a batch prompt in prefill stalls every online stream
-for a hundred. Without pacing, between-token times grow fourfold and first tokens by half.
-
-- **Prompt starts are paid from an error budget.** The limit is a 95th percentile, so 5% of the
-  online gaps between tokens may be longer than it. Each gap earns a twentieth of a unit, each that
-  is longer costs one. A batch prompt starts when the budget covers the online streams that it would
-  stall: where it hurts fewest, in the tail of a burst, and never by the clock.
-- **Width follows from the costs of a step.** While online requests keep arriving, decoding batch
-  streams may add to a first token no more than the limit allows, and down to half of that when more
-  first tokens were late than may be. In the tail of a burst, where streams still decode but nobody
-  waits for a first token, batch takes every free slot again.
+for a hundred milliseconds. Without pacing, the time between tokens grows fourfold and the time to
+the first token by half.
+
+- **Prompt starts are charged to an error budget.** The limit is a 95th percentile, so 5% of the
+  online gaps between tokens may be longer than the limit. Each gap adds a twentieth of a unit to
+  the budget, less a small margin; each gap above the limit costs one unit. A batch prompt starts
+  when the budget covers the online streams that the prompt would stall. This favours the tail of a
+  burst, where few streams are affected. Starts do not follow a timer.
+- **The number of batch streams follows from the step costs.** While online requests keep arriving,
+  decoding batch streams may delay a first token by no more than the limit allows; if more first
+  tokens were late than the limit permits, by as little as half of that. In the tail of a burst,
+  when online streams still decode but no request waits for its first token, batch requests use
+  every free slot again.
 """
 
 from __future__ import annotations
 
 from carobspool_core._clock import Millis
 from carobspool_core._config import OnlineSlowdown
-from carobspool_core._harm import QUANTILE, HarmMeter
+from carobspool_core._harm import QUANTILE, InterferenceMeter
 from carobspool_core._messages import RequestId
 from carobspool_core._replay import Replay
 from carobspool_core._stepmodel import Step, StepModel
 from carobspool_core._streams import Streams
 
-_EARNED = 1.0 - QUANTILE - 0.003
-"""Earned by each online gap: the share that may be long, less a little for what is not foreseen."""
+_BUDGET_PER_GAP = 1.0 - QUANTILE - 0.003
+"""Budget added by each online gap: the share that may exceed the limit, less a safety margin."""
 
-_RESERVE = 4.0
-"""The budget must hold the price of a start so many times over. Then the early tail of a burst,
-when many streams decode, is passed over, and the budget buys more starts a second or two later."""
+_START_COST_FACTOR = 4.0
+"""Multiple of a start's cost that the budget must hold. No prompt then starts in the early tail of
+a burst, when many streams decode, and the same budget covers more starts a second or two later."""
 
-_MOST_EARNED = 60.0
-"""Bound of the budget. It allows about a dozen prompts over a tail of few streams; more would let a
-long calm pay for a stretch of stalls that a caller notices."""
+_BUDGET_BOUND = 60.0
+"""Bound of the budget, allowing about a dozen prompt starts in a tail with few streams. With a
+higher bound, a long quiet period would permit a series of stalls that a caller notices."""
 
-_MOST_LATE = 5.0
-"""Bound of the budget of first tokens, in late ones, either way: what a few hundred first tokens
-earn at a loose limit. An overdraft beyond it would stop batch prompts long after its cause."""
+_FIRST_TOKEN_BUDGET_BOUND = 5.0
+"""Bound of the first-token budget in both directions, in late first tokens. It equals what a few
+hundred first tokens add at a loose limit. A larger overdraft would stop batch prompts long after
+its cause."""
 
-_UNLEARNT_INTERVAL: Millis = 500.0
-"""Time between batch prompts while the cost of a step is unknown, as at the start or before an
-upstream that reports no tokens. Without any start batch would starve there; more often, prompts
-would stall the online streams all the time."""
+_UNFITTED_START_INTERVAL: Millis = 500.0
+"""Interval between batch prompt starts while the step costs are unknown, as after the start or with
+an upstream that reports no tokens. Without any start, batch requests would starve there; with more
+frequent starts, prompts would stall the online streams permanently."""
 
 _STEPS_TO_FIRST_TOKEN = 2.0
-"""Steps that slow a first token: the one under way at its arrival, and its own."""
+"""Steps that delay a first token: the step in progress when its request arrives, and its own."""
 
-_LEAST_SHARE = 0.125
-"""Batch streams never fall below an eighth of the slots for first tokens' sake: the harm of so few
-is below what can be measured, and batch would starve."""
+_MIN_BATCH_SHARE = 0.125
+"""Share of the slots that batch streams may use even in a burst: an eighth. With fewer streams,
+batch requests would starve; the slowdown by so few streams is too small to measure."""
 
-_ARRIVAL_GAPS = 3.0
-"""Mean gaps between arrivals after which a burst counts as over: e^-3, one chance in twenty."""
+_BURST_END_GAPS = 3.0
+"""Mean gaps without an arrival after which a burst counts as over. The probability that a burst is
+still going on is then e^-3, one in twenty."""
 
-_LONGEST_GAP: Millis = 2_000.0
-"""A longer gap separates bursts and does not count into their mean gap."""
+_MAX_ARRIVAL_GAP: Millis = 2_000.0
+"""Longest gap within a burst. A longer gap separates bursts and is left out of the mean gap."""
 
 
 class Pacer:
-    """Controls batch work beside online requests."""
+    """Controls batch requests that run next to online requests."""
 
     def __init__(self, slots: int, slowdown: OnlineSlowdown, allowance: Millis) -> None:
         self._slots = slots
         self._slowdown = slowdown
         self._allowance = allowance
         self._steps = StepModel()
-        self._harm = HarmMeter(slowdown.first_token)
+        self._interference = InterferenceMeter(slowdown.first_token)
         self._replay = Replay(slots)
         self._budget = 0.0
-        self._first_budget = 0.0
-        self._unlearnt_until: Millis = 0.0
-        self._arrival = -1e12
-        self._gap: Millis = 500.0
+        self._first_token_budget = 0.0
+        self._no_prompt_until: Millis = 0.0
+        self._last_arrival = -1e12
+        self._mean_gap: Millis = 500.0
 
     @property
     def steps(self) -> StepModel:
-        """What a step costs."""
+        """The step costs of the upstream."""
         return self._steps
 
     @property
-    def harm(self) -> HarmMeter:
-        """What the harm is."""
-        return self._harm
-
-    def arrived(self, now: Millis) -> None:
-        """Note the arrival of an online request."""
-        gap = now - self._arrival
-        self._arrival = now
-        if gap < _LONGEST_GAP:
-            self._gap += 0.1 * (gap - self._gap)
-
-    def started(self, id: RequestId, prompt_tokens: int, offered: Millis) -> None:
-        """Note that an online request, which arrived at ``offered``, was sent to the upstream."""
+    def interference(self) -> InterferenceMeter:
+        """The slowdown of online requests by batch requests."""
+        return self._interference
+
+    def record_arrival(self, now: Millis) -> None:
+        """Record the arrival of an online request."""
+        gap = now - self._last_arrival
+        self._last_arrival = now
+        if gap < _MAX_ARRIVAL_GAP:
+            self._mean_gap += 0.1 * (gap - self._mean_gap)
+
+    def record_start(self, id: RequestId, prompt_tokens: int, offered: Millis) -> None:
+        """Record that an online request, offered at ``offered``, was sent to the upstream."""
         self._replay.arrived(id, prompt_tokens, offered)
-        self._harm.offered(id, offered)
+        self._interference.record_offer(id, offered)
 
-    def ended(self, id: RequestId, tokens: int) -> None:
-        """Note the end of an online request that received so many tokens."""
-        self._harm.gone(id)
+    def record_end(self, id: RequestId, tokens: int) -> None:
+        """Record the end of an online request that received ``tokens`` answer tokens."""
+        self._interference.drop(id)
         self._replay.ended(id, tokens)
 
-    def step(self, step: Step) -> None:
-        """Note a step of the upstream."""
-        self._harm.step(step)
+    def record_step(self, step: Step) -> None:
+        """Record a step of the upstream."""
+        self._interference.record_step(step)
         if self._steps.is_ready:
             for replayed in self._replay.advance(step.ended, self._steps.costs):
-                self._harm.replayed(replayed)
-        limit = self._limit()
+                self._interference.record_replayed_step(replayed)
+        limit = self._between_tokens_limit()
         if limit is not None:
-            earned = _EARNED - float(step.length > limit)
-            budget = self._budget + earned * step.online_tokens
-            self._budget = max(-_MOST_EARNED, min(_MOST_EARNED, budget))
-        first = self._first_budget - self._harm.take_excess()
-        self._first_budget = max(-_MOST_LATE, min(_MOST_LATE, first))
+            change = _BUDGET_PER_GAP - float(step.length > limit)
+            budget = self._budget + change * step.online_tokens
+            self._budget = max(-_BUDGET_BOUND, min(_BUDGET_BOUND, budget))
+        first_token_budget = self._first_token_budget - self._interference.pop_excess()
+        self._first_token_budget = max(
+            -_FIRST_TOKEN_BUDGET_BOUND, min(_FIRST_TOKEN_BUDGET_BOUND, first_token_budget)
+        )
 
     def in_burst(self, now: Millis) -> bool:
-        """Tell whether further online requests are likely to arrive at any moment."""
+        """Return whether further online requests are likely to arrive soon."""
         return now < self.burst_end()
 
     def burst_end(self) -> Millis:
-        """Return when the present burst counts as over if nothing arrives."""
-        return self._arrival + _ARRIVAL_GAPS * self._gap
+        """Return when the current burst counts as over if no further request arrives."""
+        return self._last_arrival + _BURST_END_GAPS * self._mean_gap
 
     def width(self, now: Millis) -> int:
-        """Return how many batch streams may run beside online requests."""
+        """Return how many batch streams may run next to online requests."""
         if not self.in_burst(now):
             return self._slots
-        baseline = self._harm.first_baseline()
+        baseline = self._interference.first_token_baseline()
         stream = self._steps.costs.stream
-        least = round(_LEAST_SHARE * self._slots)
+        minimum = round(_MIN_BATCH_SHARE * self._slots)
         if baseline is None or stream <= 0.0:
-            return least
+            return minimum
         allowed = (self._slowdown.first_token - 1.0) * baseline
-        allowed *= 1.0 + min(0.0, self._first_budget) / (2.0 * _MOST_LATE)
-        return max(least, min(self._slots, int(allowed / (_STEPS_TO_FIRST_TOKEN * stream))))
+        allowed *= 1.0 + min(0.0, self._first_token_budget) / (2.0 * _FIRST_TOKEN_BUDGET_BOUND)
+        return max(minimum, min(self._slots, int(allowed / (_STEPS_TO_FIRST_TOKEN * stream))))
 
-    def may_start(self, streams: Streams, now: Millis) -> bool:
-        """Tell whether a batch prompt may start beside online requests."""
+    def may_start_prompt(self, streams: Streams, now: Millis) -> bool:
+        """Return whether a batch prompt may start next to online requests."""
         if not self._steps.is_ready:
-            return now >= self._unlearnt_until
+            return now >= self._no_prompt_until
         if streams.batch_prefill or streams.online_prefill:
             return False
-        return self._budget >= _RESERVE * max(1, streams.online)
+        return self._budget >= _START_COST_FACTOR * max(1, streams.online)
 
-    def prompt_started(self, now: Millis) -> None:
-        """Note that a batch prompt was started."""
+    def record_prompt_start(self, now: Millis) -> None:
+        """Record that a batch prompt was started."""
         if not self._steps.is_ready:
-            self._unlearnt_until = now + _UNLEARNT_INTERVAL
+            self._no_prompt_until = now + _UNFITTED_START_INTERVAL
 
     def wake_at(self) -> list[Millis]:
-        """Return the instants at which batch may start without any event."""
-        return [self.burst_end(), self._unlearnt_until]
+        """Return the times at which batch requests may start without a further event."""
+        return [self.burst_end(), self._no_prompt_until]
 
-    def _limit(self) -> Millis | None:
-        baseline = self._harm.between_baseline()
+    def _between_tokens_limit(self) -> Millis | None:
+        baseline = self._interference.between_tokens_baseline()
         if baseline is None:
             return None
         return max(self._allowance, self._slowdown.between_tokens * baseline)
--- a/packages/core/src/carobspool_core/_victims.py
+++ b/packages/core/src/carobspool_core/_victims.py
@@ -1,8 +1,9 @@
-"""The batch stream that gives its slot to an online request.
+"""Choice of the batch stream to preempt for an online request.
 
-Load pattern: an online request arrives and batch streams hold every slot. Without preemption it
-waits for a batch answer to end, seconds instead of milliseconds. Preempting the wrong stream costs
-a prompt of prefill each time, which slows the very requests that preemption is for.
+Load pattern: an online request arrives while batch streams hold every slot. Without preemption the
+online request waits until a batch answer ends, seconds instead of milliseconds. Preempting the
+wrong stream costs the prefill of a whole prompt when that stream is resumed, which slows the online
+requests that preemption is meant to speed up.
 """
 
 from __future__ import annotations
@@ -15,10 +16,10 @@
 def choose_victim(streams: Iterable[Stream], *, keep_kv: bool) -> Stream | None:
     """Return the batch stream whose preemption costs least, or ``None`` when there is none.
 
-    Prompts not computed yet go first, the newest before the others: an engine takes prompts in
-    order, so the newest has had the least done for it. Of the decoding streams the one that was
-    preempted least often goes, so that none is cancelled again and again, and among those the one
-    that is cheapest to resume.
+    Streams in prefill are preempted first, the newest before the others: an engine computes prompts
+    in order, so the newest has the least work to lose. Among decoding streams the least often
+    preempted comes first, so that no stream is cancelled repeatedly, and among those the one that
+    is cheapest to resume. If the KV cache is lost, only the cost of resuming counts.
 
     Args:
         streams: All streams at the upstream.
--- a/packages/core/src/carobspool_core/_work.py
+++ b/packages/core/src/carobspool_core/_work.py
@@ -1,4 +1,4 @@
-"""Data classes of the upstream admission: what it is asked, what it decides, what it shows."""
+"""Data classes of the admission control: settings, requests, decisions and state."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class AdmissionMode(StrEnum):
-    """How an upstream's slots are given out; all but ``POLICY`` are baselines for experiments."""
+    """How an upstream's slots are assigned; all but ``POLICY`` are baselines for experiments."""
 
     POLICY = "policy"
     STRAIGHT = "straight"
@@ -22,22 +22,23 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AdmissionSettings:
-    """Settings of the admission before one upstream.
+    """Settings of the admission control of one upstream.
 
     Attributes:
-        mode: The policy, or a baseline: everything straight through, or a fixed cap on batch.
-        cap: Batch streams at once in mode ``cap``.
-        slots: Requests that the upstream runs side by side.
-        slowdown: How much batch work may slow online requests.
-        between_tokens_allowance: Time between tokens, in milliseconds, that is acceptable whatever
-            the ratio; 0 to go by the ratio alone.
+        mode: The policy, or a baseline: no admission control, or a fixed cap on batch streams.
+        cap: Maximum number of concurrent batch streams in mode ``cap``.
+        slots: Number of requests that the upstream runs concurrently.
+        slowdown: How much batch requests may slow online requests.
+        between_tokens_allowance: Time between tokens, in milliseconds, that is acceptable
+            regardless of the slowdown ratio; 0 applies the ratio alone.
         online_bounds: Bounds of the queue of online requests.
-        batch_backlog: Batch requests held here, beyond those that run, so that the upstream is
-            never idle while an entry sends more.
+        batch_backlog: Number of batch requests queued at the sidecar, beyond the running ones, so
+            that the upstream is never idle while an entry sends more.
         keep_kv: Whether the upstream keeps the KV cache of a cancelled stream for its resumption.
-        prefill_tokens: Batch prompt tokens in prefill at once while no online request is present.
-        paced: Whether batch prompt starts are paced while online requests are present. Off only
-            for experiments.
+        prefill_tokens: Batch prompt tokens that may be in prefill concurrently while no online
+            request is present.
+        paced: Whether batch prompt starts are paced while online requests are present. Disabled
+            only in experiments.
     """
 
     mode: AdmissionMode = AdmissionMode.POLICY
@@ -54,19 +55,19 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Work:
-    """One request offered to the admission.
+    """One request offered to the admission control.
 
     Attributes:
-        id: The attempt.
+        id: Identity of this attempt.
         priority: Online or batch.
-        caller: Whose share it uses.
-        weight: The caller's share; positive.
+        caller: Caller whose share the request uses.
+        weight: Weight of the caller in fair queueing; positive.
         prompt_tokens: Estimated prompt tokens.
         cost_tokens: Estimated tokens, prompt and answer together.
-        deadline: Instant by which the whole answer is due.
-        resume_tokens: Answer tokens that it already holds from an earlier run.
-        fingerprint: Digest that recognises the request when it comes again.
-        suspect: Whether it is suspected of crashing upstreams.
+        deadline: Time by which the whole answer is due.
+        resume_tokens: Number of answer tokens already received in an earlier run.
+        fingerprint: Digest that identifies repeated sendings of the same request.
+        suspect: Whether the request is suspected of crashing upstreams.
     """
 
     id: RequestId
@@ -83,13 +84,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Decision:
-    """What the sidecar is to do now, in this order: refuse, preempt, start.
+    """Actions for the sidecar to perform now, in this order: refuse, preempt, start.
 
     Attributes:
-        start: Requests to send to the upstream; they count as running from now on.
+        start: Requests to send to the upstream; they already count as running.
         preempt: Batch streams to cancel at the upstream.
         refuse: Waiting requests to end with a refusal.
-        wake_at: When to ask again if nothing happens before; ``None``: at the next event.
+        wake_at: Time of the next decision if no event comes before; ``None`` waits for an event.
     """
 
     start: tuple[RequestId, ...] = ()
@@ -100,20 +101,20 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AdmissionSnapshot:
-    """The state of an admission, for load reports, metrics and operators.
+    """State of the admission control, for load reports, metrics and operators.
 
     Attributes:
         running_online: Online requests at the upstream.
         running_batch: Batch requests at the upstream.
-        queued_online: Online requests that wait here.
-        queued_batch: Batch requests that wait here, preempted ones included.
+        queued_online: Online requests queued at the sidecar, and all suspects queued there.
+        queued_batch: Batch requests queued at the sidecar, including preempted ones.
         parked: Preempted batch requests whose KV cache the upstream keeps.
-        tokens: Estimated tokens of all of them.
-        first_token_ewma: Smoothed time from offer to first token of online requests, ms.
-        between_tokens_ewma: Smoothed time between tokens of online requests, ms.
-        width: Batch streams allowed at present.
-        prompt_starts: Batch prompts started since the beginning.
-        preemptions: Batch streams preempted since the beginning.
+        tokens: Estimated tokens of all running and queued requests.
+        first_token_ewma: Moving average of the time from offer to first token of online requests.
+        between_tokens_ewma: Moving average of the time between tokens of online requests.
+        width: Number of batch streams allowed to run now.
+        prompt_starts: Number of batch prompts started since the process started.
+        preemptions: Number of batch streams preempted since the process started.
     """
 
     running_online: int
--- a/packages/core/tests/_engine_model.py
+++ b/packages/core/tests/_engine_model.py
@@ -1,8 +1,8 @@
-"""A model of an inference engine that batches continuously, driven step by step on a ManualClock.
+"""Simulated inference engine with continuous batching, run step by step on a `ManualClock`.
 
-One step takes 16 ms, 0.4 ms for each decoding stream and 0.1 ms for each prompt token computed in
-it, of which it takes at most 2,048. Requests enter its slots in arrival order. It stands in for a
-real engine in trials and tests of the admission; its figures are those of a simulated engine.
+A step takes 16 ms, plus 0.4 ms for each decoding stream and 0.1 ms for each prompt token computed
+in the step, at most 2,048 of them. Requests enter the slots in arrival order. Trials and tests of
+the admission control use it in place of a real engine; their figures are those of a simulation.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """A request, its size, and what its caller has received."""
+    """A request, its size, and the progress of its answer."""
 
     id: RequestId
     online: bool
@@ -55,7 +55,7 @@
 
 @dataclass(slots=True)
 class Figures:
-    """What callers received in one run."""
+    """Measurements of one run."""
 
     first: list[float] = field(default_factory=list)
     between: list[float] = field(default_factory=list)
@@ -68,7 +68,7 @@
 
     @property
     def batch_rate(self) -> float:
-        """Batch answer tokens a second."""
+        """Batch answer tokens per second."""
         return self.batch_tokens * 1000.0 / self.elapsed
 
 
@@ -81,7 +81,7 @@
 
 
 class Engine:
-    """Slots, a queue in arrival order, and steps."""
+    """Simulated engine: slots and a first-come, first-served queue."""
 
     def __init__(self, slots: int, keep_kv: bool) -> None:
         self.slots = slots
@@ -90,13 +90,13 @@
         self.running: list[Request] = []
 
     def submit(self, request: Request, prefill: int) -> None:
-        """Take a request with so many tokens to compute before its next token."""
+        """Queue a request that needs ``prefill`` tokens computed before its next token."""
         request.left = prefill
         request.started = True
         self.waiting.append(request)
 
     def cancel(self, request: Request) -> bool:
-        """Drop a request; tell whether its KV cache is kept."""
+        """Remove a request; return whether its KV cache is kept."""
         if request in self.waiting:
             self.waiting.remove(request)
             return self.keep_kv and request.left == 0
@@ -104,21 +104,21 @@
         return self.keep_kv and request.left == 0
 
     def step(self) -> tuple[float, list[Request]]:
-        """Run one step; return its length and the requests that got a token."""
+        """Run one step; return its duration and the requests that received a token."""
         while self.waiting and len(self.running) < self.slots:
             self.running.append(self.waiting.popleft())
         decoding = [request for request in self.running if request.left == 0]
-        room = PREFILL_CHUNK
+        prefill_budget = PREFILL_CHUNK
         ready = list(decoding)
         for request in self.running:
-            if request.left == 0 or room == 0:
+            if request.left == 0 or prefill_budget == 0:
                 continue
-            taken = min(room, request.left)
-            request.left -= taken
-            room -= taken
+            computed = min(prefill_budget, request.left)
+            request.left -= computed
+            prefill_budget -= computed
             if request.left == 0:
                 ready.append(request)
-        used = PREFILL_CHUNK - room
+        used = PREFILL_CHUNK - prefill_budget
         return STEP_BASE_MS + STEP_STREAM_MS * len(decoding) + STEP_PREFILL_MS * used, ready
 
 
@@ -126,24 +126,24 @@
 
 
 def bursts(seed: int, *, rate: float = 6.0, on: float = 3.0, period: float = 12.0) -> Arrivals:
-    """Poisson arrivals at ``rate`` a second in the first ``on`` of every ``period`` seconds."""
+    """Yield Poisson arrivals at ``rate`` per second in the first ``on`` seconds of each period."""
     return varying(seed, lambda t: rate if t % period < on else 0.0, rate)
 
 
 def steady(seed: int, *, rate: float = 1.5) -> Arrivals:
-    """Poisson arrivals at a constant rate a second."""
+    """Yield Poisson arrivals at a constant rate per second."""
     return varying(seed, lambda t: rate, rate)
 
 
 def ramp(seed: int, *, top: float = 6.0, length: float = 300.0) -> Arrivals:
-    """Arrivals whose rate rises from 0 to ``top`` a second and falls back, over and over."""
+    """Yield arrivals whose rate rises from 0 to ``top`` per second and falls back, periodically."""
     return varying(seed, lambda t: top * (1.0 - abs(1.0 - 2.0 * (t % length) / length)), top)
 
 
 def varying(
     seed: int, rate: Callable[[float], float], top: float, deadline: float = FAR
 ) -> Arrivals:
-    """Poisson arrivals at ``rate(t)`` a second, at most ``top``, due ``deadline`` ms later."""
+    """Yield Poisson arrivals at ``rate(t)`` per second, up to ``top``, due in ``deadline`` ms."""
     rng = random.Random(seed)
     t = 0.0
     count = 0
@@ -174,11 +174,13 @@
     batch: bool = True,
     batch_prompt: int = BATCH_PROMPT,
 ) -> tuple[Figures, list[Request]]:
-    """Run an engine behind an admission; return the figures and all online requests."""
-    return _Run(settings, arrivals, batch=batch, batch_prompt=batch_prompt).until(seconds * 1000.0)
+    """Run an engine behind an admission control; return the figures and all online requests."""
+    return _Simulation(settings, arrivals, batch=batch, batch_prompt=batch_prompt).until(
+        seconds * 1000.0
+    )
 
 
-class _Run:
+class _Simulation:
     def __init__(
         self, settings: AdmissionSettings, arrivals: Arrivals, *, batch: bool, batch_prompt: int
     ) -> None:
@@ -193,7 +195,7 @@
         self.batch = batch
         self.batch_prompt = batch_prompt
         self.batch_count = 0
-        self.kept: set[RequestId] = set()
+        self.kv_kept: set[RequestId] = set()
         self.wake: float | None = None
 
     def until(self, end: float) -> tuple[Figures, list[Request]]:
@@ -202,8 +204,8 @@
             if not self.engine.running and not self.engine.waiting:
                 self.advance_idle()
                 continue
-            took, ready = self.engine.step()
-            self.deliver(self.clock.now() + took)
+            duration, ready = self.engine.step()
+            self.deliver(self.clock.now() + duration)
             self.emit(ready)
         self.figures.elapsed = self.clock.now()
         return self.figures, self.online
@@ -212,7 +214,7 @@
         self.deliver(self.upcoming.arrived)
 
     def deliver(self, to: float) -> None:
-        """Bring the arrivals and timers up to ``to``, each at its own instant."""
+        """Advance the clock to ``to``, handling arrivals and timers at their own times."""
         self.refill()
         self.decide()
         while True:
@@ -267,19 +269,19 @@
             self.requests[id].ended = now
         for id in decision.preempt:
             request = self.requests[id]
-            kept = self.engine.cancel(request)
-            if kept:
-                self.kept.add(id)
+            kv_kept = self.engine.cancel(request)
+            if kv_kept:
+                self.kv_kept.add(id)
             self.figures.preemptions += 1
-            self.admission.preempted(id, now, request.done, kept)
+            self.admission.preempted(id, now, request.done, kv_kept)
         for id in decision.start:
             self.submit(self.requests[id])
         wake = decision.wake_at
         self.wake = wake
 
     def submit(self, request: Request) -> None:
-        if request.id in self.kept:
-            self.kept.discard(request.id)
+        if request.id in self.kv_kept:
+            self.kv_kept.discard(request.id)
             self.engine.submit(request, 0)
             return
         if request.done or request.last is not None:
@@ -291,7 +293,7 @@
     def emit(self, ready: list[Request]) -> None:
         now = self.clock.now()
         for request in ready:
-            if request.id in self.kept or request not in self.engine.running:
+            if request.id in self.kv_kept or request not in self.engine.running:
                 continue
             self.receive(request, now)
             if request.done >= request.answer:
--- a/packages/core/tests/test_admission.py
+++ b/packages/core/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Tests of the upstream admission, judged by what callers receive from a simulated engine."""
+"""Tests of the admission control of an upstream, most of them against a simulated engine."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 
 def make_full(slots: int = 4) -> tuple[Admission, ManualClock]:
-    """Return an admission whose slots all run decoding batch streams."""
+    """Return an admission control with a decoding batch stream in every slot."""
     clock = ManualClock()
     admission = make_admission(AdmissionSettings(slots=slots, paced=False), clock)
     for count in range(slots):
@@ -62,7 +62,7 @@
 
 
 def test_online_arrival_preempts_at_once_when_no_slot_is_free() -> None:
-    """An online request starts in the same decision that preempts one batch stream for it."""
+    """The decision that starts an online request also preempts one batch stream."""
     admission, clock = make_full()
     admission.offer(make_work(1))
     decision = admission.next(clock.now())
@@ -71,7 +71,7 @@
 
 
 def test_preempted_stream_is_resumed_before_fresh_batch_work() -> None:
-    """A preempted request starts again ahead of batch requests that never ran."""
+    """A preempted request starts again before batch requests that have not run yet."""
     admission, clock = make_full()
     admission.offer(make_work(99, Priority.BATCH))
     admission.offer(make_work(1))
@@ -83,7 +83,7 @@
 
 
 def test_short_requests_in_a_row_do_not_cancel_and_resume_batch_each_time() -> None:
-    """Ten short requests, 20 ms apart, preempt no more streams than the first of them."""
+    """Of ten short requests, 20 ms apart, only the first preempts batch streams."""
     clock = ManualClock()
     admission = make_admission(AdmissionSettings(slots=16), clock)
     for count in range(16):
@@ -104,28 +104,30 @@
     assert sum(preempted[1:]) == 0
 
 
-def test_burst_is_served_while_batch_work_is_without_end() -> None:
-    """Editors' first tokens come as if there were no batch work, where straight-through stalls."""
+def test_first_tokens_in_bursts_stay_fast_on_a_permanent_batch_backlog() -> None:
+    """First tokens take little longer than without batch requests; with passthrough they stall."""
     alone, _ = model.run(AdmissionSettings(), model.bursts(1), seconds=SECONDS, batch=False)
     policy, _ = model.run(AdmissionSettings(), model.bursts(1), seconds=SECONDS)
     settings = AdmissionSettings(mode=AdmissionMode.STRAIGHT)
-    straight, _ = model.run(settings, model.bursts(1), seconds=SECONDS)
-    harm = model.quantile(policy.first, 0.95) / model.quantile(alone.first, 0.95)
-    straight_harm = model.quantile(straight.first, 0.95) / model.quantile(alone.first, 0.95)
-    assert harm < 1.5
-    assert straight_harm > 20.0
+    passthrough, _ = model.run(settings, model.bursts(1), seconds=SECONDS)
+    slowdown = model.quantile(policy.first, 0.95) / model.quantile(alone.first, 0.95)
+    passthrough_slowdown = model.quantile(passthrough.first, 0.95) / model.quantile(
+        alone.first, 0.95
+    )
+    assert slowdown < 1.5
+    assert passthrough_slowdown > 20.0
 
 
-def test_batch_fills_the_engine_when_no_editor_is_there() -> None:
-    """Batch work alone runs as fast behind the policy as straight through."""
+def test_batch_uses_the_whole_engine_when_no_online_request_is_present() -> None:
+    """Batch requests alone run as fast with the policy as without admission control."""
     policy, _ = model.run(AdmissionSettings(), model.steady(1, rate=1e-9), seconds=SECONDS)
     settings = AdmissionSettings(mode=AdmissionMode.STRAIGHT)
-    straight, _ = model.run(settings, model.steady(1, rate=1e-9), seconds=SECONDS)
-    assert policy.batch_rate > 0.95 * straight.batch_rate
+    passthrough, _ = model.run(settings, model.steady(1, rate=1e-9), seconds=SECONDS)
+    assert policy.batch_rate > 0.95 * passthrough.batch_rate
 
 
-def test_two_suspects_never_run_together() -> None:
-    """The second request that may crash the upstream waits for the end of the first."""
+def test_two_suspects_never_run_concurrently() -> None:
+    """The second suspected request waits until the first has ended."""
     clock = ManualClock()
     admission = make_admission(AdmissionSettings(slots=4), clock)
     admission.offer(make_work(1, suspect=True))
@@ -135,8 +137,8 @@
     assert admission.next(clock.now()).start == (RequestId("ONLINE", 2),)
 
 
-def test_burst_narrows_batch_to_what_first_tokens_allow() -> None:
-    """With KV kept, an arrival takes the batch streams down to the width for a burst."""
+def test_burst_reduces_batch_streams_to_the_limit_for_first_tokens() -> None:
+    """If KV caches are kept, an online arrival reduces batch streams to the limit in a burst."""
     clock = ManualClock()
     admission = make_admission(AdmissionSettings(slots=16), clock)
     for count in range(16):
@@ -149,8 +151,8 @@
     assert 16 - len(decision.preempt) == admission.snapshot(clock.now()).width
 
 
-def test_batch_goes_on_beside_online_work_before_an_upstream_that_reports_no_tokens() -> None:
-    """Beside a request without end, one batch request after the other starts, two a second."""
+def test_batch_does_not_starve_at_an_upstream_that_reports_no_tokens() -> None:
+    """While an online request runs, batch requests start one by one, two per second."""
     clock = ManualClock()
     admission = make_admission(AdmissionSettings(slots=16), clock)
     admission.offer(make_work(1))
@@ -167,8 +169,8 @@
 
 
 @pytest.mark.parametrize("tokens", [0, 1])
-def test_preempted_request_past_its_deadline_is_not_called_not_run(tokens: int) -> None:
-    """A request that was sent and then missed its deadline must not be repeated freely."""
+def test_preempted_request_past_its_deadline_is_reported_as_ran(tokens: int) -> None:
+    """A request that was sent and then missed its deadline must not be retried unconditionally."""
     clock = ManualClock()
     admission = make_admission(AdmissionSettings(slots=1, paced=False), clock)
     admission.offer(make_work(1, Priority.BATCH, deadline=50.0))
@@ -184,22 +186,22 @@
 
 
 @pytest.mark.parametrize("factor", [2, 5])
-def test_overload_keeps_goodput_and_refuses_at_once(factor: int) -> None:
-    """What happens: editors send 2 and 5 times what the engine can answer within 10 s.
+def test_overload_preserves_goodput_and_refuses_immediately(factor: int) -> None:
+    """Online load of 2 and 5 times what the engine can answer within the 10 s deadline.
 
-    Callers see either a whole answer in time or a refusal. Were the queue unbounded, every answer
-    would come after its deadline and the engine would work for nobody.
+    Callers receive either a whole answer in time or a refusal. With an unbounded queue, every
+    answer would miss its deadline and all of the engine's work would be wasted.
     """
     normal = overload(1)
-    crowded = overload(factor)
-    assert crowded["answered"] >= 0.95 * normal["answered"]
-    assert crowded["late"] <= 0.02 * crowded["answered"]
-    assert crowded["slow refusals"] <= 0.08 * crowded["refused"]
+    overloaded = overload(factor)
+    assert overloaded["answered"] >= 0.95 * normal["answered"]
+    assert overloaded["late"] <= 0.02 * overloaded["answered"]
+    assert overloaded["slow refusals"] <= 0.08 * overloaded["refused"]
 
 
 @functools.cache
 def overload(factor: int) -> dict[str, int]:
-    """Return what callers got in the minute after half a minute below capacity."""
+    """Return counts of outcomes in a minute of overload after half a minute below capacity."""
     top = 6.8 * factor
     arrivals = model.varying(1, lambda t: top if t > 30.0 else 6.0, top, deadline=10_000.0)
     _, online = model.run(AdmissionSettings(), arrivals, seconds=100.0)
@@ -218,11 +220,11 @@
 
 @settings(derandomize=True)
 @given(st.lists(st.tuples(st.integers(0, 7), st.integers(0, 30)), max_size=60))
-def test_any_interleaving_keeps_the_promises(steps: list[tuple[int, int]]) -> None:
-    """Whatever comes in whatever order: no slot is given twice and nobody waits beside free slots.
+def test_any_interleaving_preserves_the_invariants(steps: list[tuple[int, int]]) -> None:
+    """Events in any order never lead to more running requests than slots.
 
-    Online requests never wait while a batch stream runs, suspects never run together, and each
-    request is started at most once unless it was preempted.
+    Online requests never wait while a batch stream runs, suspects never run concurrently, and a
+    running request is not started again.
     """
     clock = ManualClock()
     admission = make_admission(AdmissionSettings(slots=3), clock)
@@ -255,7 +257,7 @@
     running: dict[RequestId, Work],
     works: dict[RequestId, Work],
 ) -> None:
-    """Apply one event; the number picks the request that it concerns."""
+    """Apply one event to the request selected by ``number``."""
     if action <= 3:
         priority = Priority.ONLINE if action <= 1 else Priority.BATCH
         work = make_work(len(works), priority, caller=f"c{number % 3}", suspect=number % 7 == 0)
@@ -277,10 +279,10 @@
         del running[id]
 
 
-def test_a_changed_target_is_followed() -> None:
-    """An operator who loosens or tightens the slowdown sees batch work follow it at once.
+def test_reconfiguration_replaces_the_pacer_only_if_its_target_changed() -> None:
+    """Changed slots or slowdown limits apply immediately.
 
-    The control of batch work must not go on with the target it was made with, nor the slots.
+    The pacer keeps the slots and limits that it was created with, so it must be replaced.
     """
     clock = ManualClock()
     tight = AdmissionSettings(slots=4, slowdown=OnlineSlowdown(first_token=1.05))
@@ -292,5 +294,5 @@
     admission.reconfigure(loose)
     assert admission._pacer is not before
     assert admission._pacer.width(clock.now()) == 16
-    assert admission._dispatch._pacer is admission._pacer
-    assert admission._dispatch._settings is loose
+    assert admission._allocator._pacer is admission._pacer
+    assert admission._allocator._settings is loose
