--- a/packages/core/src/carobspool_core/_account.py
+++ b/packages/core/src/carobspool_core/_account.py
@@ -1,26 +1,26 @@
-"""What one entry knows of one caller or organisation that has limits."""
+"""Usage of one caller or organisation with limits, as counted by one entry."""
 
 from __future__ import annotations
 
 import math
 
-from carobspool_core._bucket import MINUTE, Bucket
+from carobspool_core._bucket import MINUTE_MS, Bucket
 from carobspool_core._clock import Millis
 from carobspool_core._config import Limits
 from carobspool_core._outcome import Failure, rate_limited
-from carobspool_core._refusals import bounded_retry
+from carobspool_core._refusals import clamp_retry_delay
 from carobspool_core._shares import NO_DEMAND, Demand
 
-_DEMAND_MEMORY: Millis = 5_000.0
-"""Memory of the demand: five report intervals. A shorter one follows the chance of single arrivals,
-a longer one keeps a share where the caller no longer sends."""
+_DEMAND_TIME_CONSTANT: Millis = 5_000.0
+"""Time constant of the demand average: five report intervals. A shorter one follows random single
+arrivals; a longer one keeps a share at an entry to which the caller no longer sends."""
 
-_CONCURRENT_RETRY: Millis = 1_000.0
-"""When a caller at its bound of requests at once may come back: about the length of an answer."""
+_CONCURRENT_RETRY_DELAY: Millis = 1_000.0
+"""Retry delay for a caller at its concurrency limit: about the duration of an answer."""
 
 
 class Account:
-    """Usage of one subject at one entry, and this entry's part of its limits."""
+    """Usage of one subject at one entry, and the entry's share of the subject's limits."""
 
     __slots__ = (
         "concurrent",
@@ -47,39 +47,42 @@
         self.demand = NO_DEMAND
         self.reported = NO_DEMAND
 
-    def refusal(self, cost_tokens: int, now: Millis) -> Failure | None:
-        """Return why a request may not pass, or ``None``."""
+    def refusal_for(self, cost_tokens: int, now: Millis) -> Failure | None:
+        """Return the refusal of a request, or ``None`` if the limits admit it."""
         limits = self.limits
         if limits.concurrent is not None and self.in_flight >= self.concurrent:
-            return _refusal("concurrent_limit", "Too many requests at once.", _CONCURRENT_RETRY)
+            return _refusal(
+                "concurrent_limit", "Too many requests at once.", _CONCURRENT_RETRY_DELAY
+            )
         if limits.requests_per_minute is not None:
-            wait = self.requests.wait(1.0, now)
+            wait = self.requests.time_until_available(1.0, now)
             if wait > 0.0:
                 return _refusal("requests_limit", "Too many requests a minute.", wait)
         if limits.tokens_per_minute is not None:
-            wait = self.tokens.wait(cost_tokens, now)
+            wait = self.tokens.time_until_available(cost_tokens, now)
             if wait > 0.0:
                 return _refusal("tokens_limit", "Too many tokens a minute.", wait)
         return None
 
-    def take(self, cost_tokens: int) -> None:
-        """Count an admitted request."""
+    def charge(self, cost_tokens: int) -> None:
+        """Charge an admitted request to the limits."""
         self.in_flight += 1
         if self.limits.requests_per_minute is not None:
-            self.requests.take(1.0)
+            self.requests.consume(1.0)
         if self.limits.tokens_per_minute is not None:
-            self.tokens.take(cost_tokens)
-
-    def measure(self, elapsed: Millis) -> None:
-        """Work out the demand since the last measurement."""
-        keep = math.exp(-elapsed / _DEMAND_MEMORY)
-        add = (1.0 - keep) * MINUTE / elapsed
-        requests = keep * self.demand.requests + add * self.offered
-        tokens = keep * self.demand.tokens + add * self.offered_tokens
+            self.tokens.consume(cost_tokens)
+
+    def update_demand(self, elapsed: Millis) -> None:
+        """Update the demand average with the requests of the last ``elapsed`` milliseconds."""
+        decay = math.exp(-elapsed / _DEMAND_TIME_CONSTANT)
+        rate_factor = (1.0 - decay) * MINUTE_MS / elapsed
+        requests = decay * self.demand.requests + rate_factor * self.offered
+        tokens = decay * self.demand.tokens + rate_factor * self.offered_tokens
         concurrent = float(self.in_flight + self.refused)
-        concurrent = keep * self.demand.concurrent + (1.0 - keep) * concurrent
-        # What exceeds the limit is never admitted. Counted in full, a caller who moves would leave
-        # a demand behind that takes longer to fade than the new one to grow, and be cut meanwhile.
+        concurrent = decay * self.demand.concurrent + (1.0 - decay) * concurrent
+        # Demand above the limit is never admitted. Counted in full, the demand at an entry that a
+        # caller has left would decay more slowly than the demand at its new entry grows, and the
+        # caller would get less than its limit in the meantime.
         self.demand = Demand(
             requests=_capped(requests, self.limits.requests_per_minute),
             tokens=_capped(tokens, self.limits.tokens_per_minute),
@@ -89,7 +92,7 @@
         self.offered = self.offered_tokens = self.refused = 0
 
     def is_idle(self, now: Millis) -> bool:
-        """Tell whether it can be forgotten without effect."""
+        """Return whether the account can be dropped without effect."""
         if self.in_flight:
             return False
         return self.requests.is_full(now) and self.tokens.is_full(now)
@@ -100,4 +103,4 @@
 
 
 def _refusal(code: str, message: str, wait: Millis) -> Failure:
-    return rate_limited(code, message, retry_after_ms=bounded_retry(wait))
+    return rate_limited(code, message, retry_after_ms=clamp_retry_delay(wait))
--- a/packages/core/src/carobspool_core/_fairqueue.py
+++ b/packages/core/src/carobspool_core/_fairqueue.py
@@ -1,13 +1,13 @@
-"""Start-time fair queueing of waiting requests over their callers.
+"""Start-time fair queueing of waiting requests across callers.
 
-Load pattern: one caller sends far more than the others, or everybody sends more than the upstream
-serves. Without it a first-come queue lets the heaviest caller set everyone's wait, and requests
-wait past their deadline only to fail then.
+Load pattern: one caller sends far more than the others, or all callers together send more than the
+upstream serves. In a first-come, first-served queue the heaviest caller would determine the wait of
+all callers, and requests would wait past their deadline and then fail.
 
-Each caller's requests stay in their order. The caller whose head has the lowest start tag is next;
-serving a request of ``c`` tokens moves the caller's tag on by ``c / weight``. Tags are charged when
-a request is served, so one that is cancelled in the queue costs its caller nothing. An idle caller
-is forgotten as soon as the virtual time has passed its tag; nothing is kept for it.
+The requests of one caller are served in order of arrival. The caller with the lowest start tag is
+served next; serving a request of ``c`` tokens advances the caller's tag by ``c / weight``. Tags
+advance only when a request is served, so a request cancelled in the queue costs its caller nothing.
+The state of an idle caller is dropped as soon as the virtual time has passed its tag.
 
 Every operation takes O(log n) amortised time for n waiting requests.
 """
@@ -28,20 +28,20 @@
 from carobspool_core._refusals import deadline_unreachable, queue_full
 from carobspool_core._tickets import QueueBounds, Ticket
 
-_SLACK_ENTRIES = 64
-"""Stale heap entries tolerated before a rebuild, so that small heaps are never rebuilt."""
+_MIN_STALE_ENTRIES = 64
+"""Stale heap entries tolerated beyond the number of live ones; small heaps are never rebuilt."""
 
 _WAIT_MARGIN = 2.0
-"""Requests of lighter callers that come later are served first and delay those that wait. Without
-the margin one refusal in ten comes only after seconds in the queue; with it one in thirty, at the
-same goodput (docs/design/fair-queueing.md)."""
+"""Factor on the predicted wait, since later requests of lighter callers overtake waiting requests.
+Without the margin, one refusal in ten comes only after seconds in the queue; with it, one in
+thirty, at the same goodput (docs/design/fair-queueing.md)."""
 
 T = TypeVar("T")
 
 
 @dataclass(slots=True)
-class _Backlog(Generic[T]):
-    """The waiting requests of one caller; ``order`` names its only valid entry in the heap."""
+class _CallerBacklog(Generic[T]):
+    """The waiting requests of one caller; ``order`` identifies its only valid entry in the heap."""
 
     weight: float
     start: float
@@ -50,96 +50,96 @@
     tickets: OrderedDict[RequestId, Ticket[T]] = field(default_factory=OrderedDict)
 
     @property
-    def load(self) -> float:
+    def weighted_cost(self) -> float:
         return self.cost / self.weight
 
 
 class FairQueue(Generic[T]):
-    """A bounded queue, fair over callers by weighted cost. Made by `make_fair_queue`.
+    """A bounded queue, fair across callers by weighted cost. Created by `make_fair_queue`.
 
     Since 0.1.
     """
 
     def __init__(self, bounds: QueueBounds) -> None:
         self._bounds = bounds
-        self._backlogs: dict[str, _Backlog[T]] = {}
-        self._callers: dict[RequestId, str] = {}
+        self._backlogs: dict[str, _CallerBacklog[T]] = {}
+        self._caller_of: dict[RequestId, str] = {}
         self._heads: list[tuple[float, int, str]] = []
         self._deadlines: list[tuple[Millis, int, RequestId]] = []
         self._loads: list[tuple[float, int, str]] = []
-        self._tags: dict[str, float] = {}
-        self._idle: list[tuple[float, str]] = []
-        self._virtual = 0.0
+        self._idle_tags: dict[str, float] = {}
+        self._idle_heap: list[tuple[float, str]] = []
+        self._virtual_time = 0.0
         self._order = 0
         self._cost = 0.0
-        self._weight = 0.0
-        self._rate = 0.0
+        self._busy_weight = 0.0
+        self._tokens_per_ms = 0.0
 
     def __len__(self) -> int:
-        return len(self._callers)
+        return len(self._caller_of)
 
     def __contains__(self, id: RequestId) -> bool:
-        return id in self._callers
+        return id in self._caller_of
 
     @property
     def cost(self) -> float:
-        """Estimated tokens of all that wait."""
+        """Estimated tokens of all waiting requests."""
         return self._cost
 
     @property
     def callers_held(self) -> int:
-        """Callers of whom anything is kept, waiting or not."""
-        return len(self._backlogs) + len(self._tags)
+        """Number of callers with state in the queue, with or without waiting requests."""
+        return len(self._backlogs) + len(self._idle_tags)
 
     def set_rate(self, tokens_per_ms: float) -> None:
-        """Set the rate at which waiting tokens are served; 0 while it is unknown."""
-        self._rate = tokens_per_ms
+        """Set the throughput used to predict waits; 0 while it is unknown."""
+        self._tokens_per_ms = tokens_per_ms
 
     def predicted_wait(self, caller: str, weight: float) -> Millis:
-        """Return how long a new request of ``caller`` would wait, in milliseconds.
+        """Return the predicted wait of a new request of ``caller``; 0 while the rate is unknown.
 
-        The virtual time reaches its start tag after the busy callers have each been served up to
-        that tag, which takes at least a round of one request each and at most as long as everything
-        that waits. 0 while the rate is unknown.
+        The virtual time reaches the request's start tag when every busy caller has been served up
+        to that tag. This takes at least one round, with one request of each caller, and at most as
+        long as serving all waiting requests.
         """
-        if self._rate <= 0.0 or not self._callers:
+        if self._tokens_per_ms <= 0.0 or not self._caller_of:
             return 0.0
         backlog = self._backlogs.get(caller)
         if backlog is None:
-            tag = self._tags.get(caller, self._virtual)
-            weights = self._weight + weight
+            tag = self._idle_tags.get(caller, self._virtual_time)
+            weights = self._busy_weight + weight
         else:
             tag = backlog.start + backlog.cost / backlog.weight
-            weights = self._weight
-        round_cost = self._cost * len(self._backlogs) / len(self._callers)
-        ahead = max(round_cost, (tag - self._virtual) * weights)
-        return min(self._cost, ahead) * _WAIT_MARGIN / self._rate
+            weights = self._busy_weight
+        round_cost = self._cost * len(self._backlogs) / len(self._caller_of)
+        ahead = max(round_cost, (tag - self._virtual_time) * weights)
+        return min(self._cost, ahead) * _WAIT_MARGIN / self._tokens_per_ms
 
     def push(self, ticket: Ticket[T], now: Millis) -> Result[tuple[Ticket[T], ...], Failure]:
         """Queue a request.
 
         Args:
             ticket: The request.
-            now: The present instant.
+            now: The current time.
 
         Returns:
-            Requests pushed out to make room, each of which is to be refused at once; or the
-            refusal of this one.
+            The requests evicted to make room, which the owner must refuse immediately; or the
+            refusal of ``ticket``.
         """
-        refusal = self._refusal(ticket, now)
+        refusal = self._refusal_for(ticket, now)
         if refusal is not None:
             return Failed(refusal)
-        pushed_out: tuple[Ticket[T], ...] = ()
-        if len(self._callers) >= self._bounds.total:
+        evicted: tuple[Ticket[T], ...] = ()
+        if len(self._caller_of) >= self._bounds.total:
             heaviest = self._heaviest()
             if not self._is_lighter(ticket, heaviest):
                 return Failed(queue_full(self.predicted_wait(ticket.caller, ticket.weight)))
-            pushed_out = (self._push_out(heaviest),)
+            evicted = (self._evict_newest(heaviest),)
         self._insert(ticket)
-        return Success(pushed_out)
+        return Success(evicted)
 
     def peek(self) -> Ticket[T] | None:
-        """Return the next request to serve without taking it, or ``None`` when none waits."""
+        """Return the next request to serve without removing it; ``None`` if the queue is empty."""
         while self._heads:
             _, order, caller = self._heads[0]
             backlog = self._backlogs.get(caller)
@@ -149,29 +149,29 @@
         return None
 
     def pop(self) -> Ticket[T] | None:
-        """Take the next request to serve, or ``None`` when none waits."""
+        """Remove and return the next request to serve; ``None`` if the queue is empty."""
         ticket = self.peek()
         if ticket is None:
             return None
         backlog = self._backlogs[ticket.caller]
-        self._virtual = max(self._virtual, backlog.start)
+        self._virtual_time = max(self._virtual_time, backlog.start)
         backlog.start += ticket.cost / backlog.weight
-        self._take(ticket, backlog)
-        self._forget_idle()
+        self._detach(ticket, backlog)
+        self._drop_passed_tags()
         return ticket
 
     def remove(self, id: RequestId) -> Ticket[T] | None:
-        """Take a request out, for example when its caller gave up; ``None`` if it is not here."""
-        caller = self._callers.get(id)
+        """Remove and return a request, such as a cancelled one; ``None`` if it is not queued."""
+        caller = self._caller_of.get(id)
         if caller is None:
             return None
         backlog = self._backlogs[caller]
         ticket = backlog.tickets[id]
-        self._take(ticket, backlog)
+        self._detach(ticket, backlog)
         return ticket
 
     def expire(self, now: Millis) -> list[Ticket[T]]:
-        """Take out all requests that can no longer start in time."""
+        """Remove and return all requests that can no longer meet their deadline."""
         expired: list[Ticket[T]] = []
         while self._deadlines and self._deadlines[0][0] < now:
             _, _, id = heapq.heappop(self._deadlines)
@@ -181,12 +181,12 @@
         return expired
 
     def next_expiry(self) -> Millis | None:
-        """Return when the next request becomes too late to start, or ``None``."""
-        while self._deadlines and self._deadlines[0][2] not in self._callers:
+        """Return the earliest ``start_by`` of all waiting requests, or ``None`` if none waits."""
+        while self._deadlines and self._deadlines[0][2] not in self._caller_of:
             heapq.heappop(self._deadlines)
         return self._deadlines[0][0] if self._deadlines else None
 
-    def _refusal(self, ticket: Ticket[T], now: Millis) -> Failure | None:
+    def _refusal_for(self, ticket: Ticket[T], now: Millis) -> Failure | None:
         backlog = self._backlogs.get(ticket.caller)
         if backlog is not None and len(backlog.tickets) >= self._bounds.per_caller:
             return queue_full(self.predicted_wait(ticket.caller, ticket.weight))
@@ -200,28 +200,30 @@
         backlog.tickets[ticket.id] = ticket
         backlog.cost += ticket.cost
         self._cost += ticket.cost
-        self._callers[ticket.id] = ticket.caller
+        self._caller_of[ticket.id] = ticket.caller
         self._order += 1
         heapq.heappush(self._deadlines, (ticket.start_by, self._order, ticket.id))
-        heapq.heappush(self._loads, (-backlog.load, self._order, ticket.caller))
-        self._drop_stale()
+        heapq.heappush(self._loads, (-backlog.weighted_cost, self._order, ticket.caller))
+        self._rebuild_stale_heaps()
 
-    def _open_backlog(self, ticket: Ticket[T]) -> _Backlog[T]:
-        tag = self._tags.pop(ticket.caller, 0.0)
-        start = max(self._virtual, tag)
+    def _open_backlog(self, ticket: Ticket[T]) -> _CallerBacklog[T]:
+        tag = self._idle_tags.pop(ticket.caller, 0.0)
+        start = max(self._virtual_time, tag)
         self._order += 1
-        backlog: _Backlog[T] = _Backlog(weight=ticket.weight, start=start, order=self._order)
+        backlog: _CallerBacklog[T] = _CallerBacklog(
+            weight=ticket.weight, start=start, order=self._order
+        )
         self._backlogs[ticket.caller] = backlog
-        self._weight += ticket.weight
+        self._busy_weight += ticket.weight
         heapq.heappush(self._heads, (start, self._order, ticket.caller))
         return backlog
 
-    def _take(self, ticket: Ticket[T], backlog: _Backlog[T]) -> None:
+    def _detach(self, ticket: Ticket[T], backlog: _CallerBacklog[T]) -> None:
         del backlog.tickets[ticket.id]
-        del self._callers[ticket.id]
+        del self._caller_of[ticket.id]
         backlog.cost -= ticket.cost
         self._cost -= ticket.cost
-        if not self._callers:
+        if not self._caller_of:
             self._end_busy_period()
             return
         if not backlog.tickets:
@@ -231,61 +233,64 @@
         backlog.order = self._order
         heapq.heappush(self._heads, (backlog.start, self._order, ticket.caller))
 
-    def _close_backlog(self, caller: str, backlog: _Backlog[T]) -> None:
+    def _close_backlog(self, caller: str, backlog: _CallerBacklog[T]) -> None:
         del self._backlogs[caller]
-        self._weight -= backlog.weight
-        if backlog.start <= self._virtual:
+        self._busy_weight -= backlog.weight
+        if backlog.start <= self._virtual_time:
             return
-        self._tags[caller] = backlog.start
-        heapq.heappush(self._idle, (backlog.start, caller))
+        self._idle_tags[caller] = backlog.start
+        heapq.heappush(self._idle_heap, (backlog.start, caller))
 
     def _end_busy_period(self) -> None:
         self._backlogs.clear()
-        self._tags.clear()
+        self._idle_tags.clear()
         self._heads.clear()
         self._deadlines.clear()
         self._loads.clear()
-        self._idle.clear()
-        self._virtual = self._cost = self._weight = 0.0
+        self._idle_heap.clear()
+        self._virtual_time = self._cost = self._busy_weight = 0.0
 
-    def _forget_idle(self) -> None:
-        while self._idle and self._idle[0][0] <= self._virtual:
-            tag, caller = heapq.heappop(self._idle)
-            if self._tags.get(caller) == tag:
-                del self._tags[caller]
+    def _drop_passed_tags(self) -> None:
+        while self._idle_heap and self._idle_heap[0][0] <= self._virtual_time:
+            tag, caller = heapq.heappop(self._idle_heap)
+            if self._idle_tags.get(caller) == tag:
+                del self._idle_tags[caller]
 
     def _heaviest(self) -> str:
         while True:
-            load, order, caller = self._loads[0]
+            weighted_cost, order, caller = self._loads[0]
             backlog = self._backlogs.get(caller)
-            if backlog is not None and -backlog.load == load:
+            if backlog is not None and -backlog.weighted_cost == weighted_cost:
                 return caller
             heapq.heappop(self._loads)
             if backlog is not None:
-                heapq.heappush(self._loads, (-backlog.load, order, caller))
+                heapq.heappush(self._loads, (-backlog.weighted_cost, order, caller))
 
     def _is_lighter(self, ticket: Ticket[T], heaviest: str) -> bool:
         backlog = self._backlogs.get(ticket.caller)
         held = 0.0 if backlog is None else backlog.cost
-        return (held + ticket.cost) / ticket.weight < self._backlogs[heaviest].load
+        return (held + ticket.cost) / ticket.weight < self._backlogs[heaviest].weighted_cost
 
-    def _push_out(self, caller: str) -> Ticket[T]:
+    def _evict_newest(self, caller: str) -> Ticket[T]:
         backlog = self._backlogs[caller]
         newest = next(reversed(backlog.tickets.values()))
-        self._take(newest, backlog)
+        self._detach(newest, backlog)
         return newest
 
-    def _drop_stale(self) -> None:
-        # Removed requests leave entries behind. Without a rebuild a queue that never empties would
-        # grow without end; rebuilding when half the entries are stale keeps the cost amortised.
-        if len(self._deadlines) > 2 * len(self._callers) + _SLACK_ENTRIES:
-            self._deadlines = [entry for entry in self._deadlines if entry[2] in self._callers]
+    def _rebuild_stale_heaps(self) -> None:
+        # Removed requests leave stale entries in the heaps. Without a rebuild, the heaps of a queue
+        # that never empties would grow without bound. A rebuild when half of the entries are stale
+        # preserves the amortised cost.
+        if len(self._deadlines) > 2 * len(self._caller_of) + _MIN_STALE_ENTRIES:
+            self._deadlines = [entry for entry in self._deadlines if entry[2] in self._caller_of]
             heapq.heapify(self._deadlines)
-        if len(self._loads) > 2 * len(self._backlogs) + _SLACK_ENTRIES:
+        if len(self._loads) > 2 * len(self._backlogs) + _MIN_STALE_ENTRIES:
             held = enumerate(self._backlogs.items())
-            self._loads = [(-backlog.load, index, caller) for index, (caller, backlog) in held]
+            self._loads = [
+                (-backlog.weighted_cost, index, caller) for index, (caller, backlog) in held
+            ]
             heapq.heapify(self._loads)
-        if len(self._heads) > 2 * len(self._backlogs) + _SLACK_ENTRIES:
+        if len(self._heads) > 2 * len(self._backlogs) + _MIN_STALE_ENTRIES:
             live = self._backlogs.items()
             self._heads = [(backlog.start, backlog.order, caller) for caller, backlog in live]
             heapq.heapify(self._heads)
@@ -295,7 +300,7 @@
     """Return an empty queue.
 
     Args:
-        bounds: Its bounds; the defaults of `QueueBounds` when ``None``.
+        bounds: Bounds of the queue; ``None`` means the defaults of `QueueBounds`.
 
     Since 0.1.
     """
--- a/packages/core/src/carobspool_core/_limits.py
+++ b/packages/core/src/carobspool_core/_limits.py
@@ -1,12 +1,12 @@
-"""Limits of callers and organisations, kept over all entries together.
+"""Rate and concurrency limits of callers and organisations, enforced by all entries together.
 
-Load pattern: a hot caller, at one entry or at all, and tens of thousands of quiet ones. Without
-limits one customer's script takes the fleet from the others; with limits kept by each entry alone
-it gets them as many times as there are entries.
+Load pattern: one very active caller, at one entry or at all of them, and tens of thousands of
+nearly idle ones. Without limits, one customer's script uses up the capacity of the fleet; with
+limits that each entry enforces alone, the customer gets the limit once per entry.
 
-Requests and tokens a minute are token buckets, requests at once are counted. Each entry enforces
-its part of each limit, which moves with demand (`_shares`). The parts add up to the limit, so the
-total is right to within what the buckets hold. Nothing is kept of a subject that is idle.
+Requests and tokens per minute are limited by token buckets, concurrent requests by a counter. Each
+entry enforces its share of each limit, which follows the demand (`_shares`). The shares add up to
+the limit, so the total is exact to within the capacity of the buckets. Idle subjects have no state.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 from carobspool_core._shares import (
     NO_DEMAND,
     Demand,
-    Peers,
+    PeerDemands,
     Subject,
     SubjectKind,
     UsageReport,
@@ -34,166 +34,169 @@
     share_rate,
 )
 
-_REPORTED_PART = 0.25
-"""A demand below this part of an equal share is not reported: the spare part covers it, and at
-30,000 organisations nearly all are below it."""
+_MIN_REPORTED_FRACTION = 0.25
+"""Fraction of an equal share below which a demand is not reported. The equally divided spare part
+of the limit covers such a demand, and of 30,000 organisations nearly all are below the fraction."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Grant:
-    """An admitted request, to be given back when it ends."""
+    """Limits charged for an admitted request, to be released when the request ends."""
 
     subjects: tuple[Subject, ...]
     cost_tokens: int
 
 
 class Limiter:
-    """Enforces one entry's part of all limits. Made by `make_limiter`.
+    """Enforces one entry's share of all limits. Created by `make_limiter`.
 
-    Not safe for use from several threads; its owner serialises the calls.
+    Not thread-safe; the caller must serialise all calls.
 
     Since 0.1.
     """
 
     def __init__(self, clock: Clock, entry: str) -> None:
         self._entry = entry
-        self._peers = Peers(entry)
+        self._peers = PeerDemands(entry)
         self._accounts: dict[Subject, Account] = {}
-        self._measured = clock.now()
+        self._last_measured = clock.now()
 
     @property
     def accounts(self) -> int:
-        """Subjects of which anything is kept."""
+        """Number of callers and organisations with state."""
         return len(self._accounts)
 
     def admit(
         self, caller: Caller, organisation: Organisation, cost_tokens: int, now: Millis
     ) -> Result[Grant, Failure]:
-        """Admit a request or refuse it at once.
+        """Admit a request or refuse it immediately.
 
         Args:
-            caller: Who sends it.
+            caller: The sender of the request.
             organisation: The caller's organisation.
             cost_tokens: Estimated tokens, prompt and answer together.
-            now: The present instant.
+            now: The current time.
 
         Returns:
-            A grant, to be handed to `release` when the request ends, or the refusal.
+            A grant to pass to `release` when the request ends, or the refusal.
         """
         accounts = {
-            subject: self._account(subject, limits, now)
+            subject: self._account_for(subject, limits, now)
             for subject, limits in _subjects(caller, organisation)
         }
         for account in accounts.values():
             account.offered += 1
             account.offered_tokens += cost_tokens
         for account in accounts.values():
-            refusal = account.refusal(cost_tokens, now)
+            refusal = account.refusal_for(cost_tokens, now)
             if refusal is not None:
                 account.refused += int(refusal.code == "concurrent_limit")
                 return Failed(refusal)
         for account in accounts.values():
-            account.take(cost_tokens)
+            account.charge(cost_tokens)
         return Success(Grant(subjects=tuple(accounts), cost_tokens=cost_tokens))
 
     def release(self, grant: Grant, used_tokens: int, now: Millis) -> None:
-        """Note the end of an admitted request.
+        """Release the grant of a request that has ended.
 
         Args:
-            grant: What `admit` returned.
-            used_tokens: Tokens that it used; the rest of the estimate is given back.
-            now: The present instant.
+            grant: The grant that `admit` returned.
+            used_tokens: Tokens that the request used; the rest of the estimate is refunded.
+            now: The current time.
         """
         for subject in grant.subjects:
             account = self._accounts.get(subject)
             if account is None:
                 continue
             account.in_flight -= 1
-            account.tokens.give_back(grant.cost_tokens - used_tokens)
+            account.tokens.refund(grant.cost_tokens - used_tokens)
 
     def report(self, now: Millis) -> UsageReport:
-        """Return this entry's demand, to be sent to the other entries about once a second."""
-        unheard = self._peers.unheard
-        self._peers.lapse(now)
-        if self._peers.unheard != unheard:
-            self._share_all(now)
-        elapsed = now - self._measured
+        """Return this entry's demand, to be sent to the other entries about once a second.
+
+        Also measures the demand, drops expired reports and idle accounts, and updates the shares.
+        """
+        missing = self._peers.missing
+        self._peers.expire(now)
+        if self._peers.missing != missing:
+            self._update_all_shares(now)
+        elapsed = now - self._last_measured
         demands: dict[Subject, Demand] = {}
         for subject, account in list(self._accounts.items()):
             if elapsed > 0.0:
-                account.measure(elapsed)
+                account.update_demand(elapsed)
             before = account.reported
-            account.reported = self._worth_reporting(account)
+            account.reported = self._reportable_demand(account)
             if account.reported is not NO_DEMAND:
                 demands[subject] = account.reported
             elif account.is_idle(now):
                 del self._accounts[subject]
                 continue
             if account.reported is not before:
-                self._share(subject, account, now)
-        self._measured = now
+                self._update_share(subject, account, now)
+        self._last_measured = now
         return UsageReport(entry=self._entry, demands=demands)
 
     def merge(self, report: UsageReport, now: Millis) -> None:
-        """Take the report of another entry."""
-        before = self._peers.unheard
+        """Apply the report of another entry."""
+        before = self._peers.missing
         self._peers.merge(report, now)
-        if self._peers.unheard != before:
-            self._share_all(now)
+        if self._peers.missing != before:
+            self._update_all_shares(now)
             return
         for subject in report.demands:
             account = self._accounts.get(subject)
             if account is not None:
-                self._share(subject, account, now)
+                self._update_share(subject, account, now)
 
     def set_entries(self, live: Sequence[str], now: Millis | None = None) -> None:
-        """Set which entries are live; the shares of the others return to them."""
+        """Set which entries are live; they take over the shares of entries that are not."""
         self._peers.set_live(live)
-        self._share_all(self._measured if now is None else now)
+        self._update_all_shares(self._last_measured if now is None else now)
 
-    def _account(self, subject: Subject, limits: Limits, now: Millis) -> Account:
+    def _account_for(self, subject: Subject, limits: Limits, now: Millis) -> Account:
         account = self._accounts.get(subject)
         if account is not None and account.limits == limits:
             return account
         if account is None:
             account = self._accounts[subject] = Account(limits, now)
-            self._share(subject, account, now)
+            self._update_share(subject, account, now)
             account.requests = Bucket(account.requests.rate, 1.0, now)
             account.tokens = Bucket(account.tokens.rate, 1.0, now)
             return account
         account.limits = limits
-        self._share(subject, account, now)
+        self._update_share(subject, account, now)
         return account
 
-    def _share_all(self, now: Millis) -> None:
+    def _update_all_shares(self, now: Millis) -> None:
         for subject, account in self._accounts.items():
-            self._share(subject, account, now)
+            self._update_share(subject, account, now)
 
-    def _share(self, subject: Subject, account: Account, now: Millis) -> None:
+    def _update_share(self, subject: Subject, account: Account, now: Millis) -> None:
         limits = account.limits
-        others = self._peers.demands(subject)
+        peer_demands = self._peers.demands(subject)
         own = account.reported
         if limits.requests_per_minute is not None:
-            demand = sum(other.requests for other in others.values())
-            share = self._rate(limits.requests_per_minute, own.requests, demand)
+            demand = sum(other.requests for other in peer_demands.values())
+            share = self._rate_share(limits.requests_per_minute, own.requests, demand)
             account.requests.set_rate(share, now)
         if limits.tokens_per_minute is not None:
-            demand = sum(other.tokens for other in others.values())
-            share = self._rate(limits.tokens_per_minute, own.tokens, demand)
+            demand = sum(other.tokens for other in peer_demands.values())
+            share = self._rate_share(limits.tokens_per_minute, own.tokens, demand)
             account.tokens.set_rate(share, now)
         if limits.concurrent is not None:
-            heard = [others.get(entry, NO_DEMAND) for entry in self._peers.heard]
-            rank, unheard = self._peers.rank, self._peers.unheard
+            reporting = [peer_demands.get(entry, NO_DEMAND) for entry in self._peers.reporting]
+            rank, missing = self._peers.rank, self._peers.missing
             account.concurrent = share_count(
-                limits.concurrent, own.concurrent, heard, rank, unheard
+                limits.concurrent, own.concurrent, reporting, rank, missing
             )
 
-    def _rate(self, limit: float, own: float, others: float) -> float:
-        return share_rate(limit, own, others, self._peers.entries, self._peers.unheard)
+    def _rate_share(self, limit: float, own: float, peer_demands: float) -> float:
+        return share_rate(limit, own, peer_demands, self._peers.entries, self._peers.missing)
 
-    def _worth_reporting(self, account: Account) -> Demand:
+    def _reportable_demand(self, account: Account) -> Demand:
         limits = account.limits
-        part = _REPORTED_PART / self._peers.entries
+        part = _MIN_REPORTED_FRACTION / self._peers.entries
         demand = account.demand
         if (
             demand.requests > part * (limits.requests_per_minute or math.inf)
@@ -208,8 +211,8 @@
     """Return the limiter of one entry.
 
     Args:
-        clock: Read once, for the start of the first measurement.
-        entry: Name of the entry, as in the lists given to `Limiter.set_entries`.
+        clock: Read once, at the start of the first measurement.
+        entry: Name of the entry, as in the lists passed to `Limiter.set_entries`.
 
     Since 0.1.
     """
--- a/packages/core/src/carobspool_core/_refusals.py
+++ b/packages/core/src/carobspool_core/_refusals.py
@@ -1,7 +1,7 @@
-"""Refusals at overload: final, immediate, and telling when to come back.
+"""Final, immediate refusals at overload, with a retry delay.
 
-Load pattern: more requests than the upstreams serve. Without a time to come back, callers resend at
-once and the refusals themselves become the load.
+Load pattern: more requests than the upstreams serve. Without a retry delay, callers retry
+immediately, and handling the refusals becomes the load.
 """
 
 from __future__ import annotations
@@ -9,33 +9,35 @@
 from carobspool_core._clock import Millis
 from carobspool_core._outcome import Failure, rate_limited
 
-LEAST_RETRY_MS: Millis = 250.0
-"""Shortest time after which a refused caller is asked back: some ten engine steps."""
+_MIN_RETRY: Millis = 250.0
+"""Shortest retry delay sent to a refused caller: about ten engine steps."""
 
-MOST_RETRY_MS: Millis = 60_000.0
-"""Longest such time. A prediction further ahead than a minute rests on a rate that will change."""
+_MAX_RETRY: Millis = 60_000.0
+"""Longest retry delay. Predictions beyond a minute rely on a throughput that will have changed."""
 
 
 def queue_full(wait: Millis) -> Failure:
-    """Return the refusal of a request for which there is no room.
+    """Return the refusal of a request that does not fit into its queue.
 
     Args:
-        wait: Predicted wait of a request that joined now; half the queue is served in half of it.
+        wait: Predicted wait of a request queued now. The retry delay is half of it, in which half
+            of the queue is served.
     """
     message = "Too many requests are waiting."
-    return rate_limited("queue_full", message, retry_after_ms=bounded_retry(wait / 2.0))
+    return rate_limited("queue_full", message, retry_after_ms=clamp_retry_delay(wait / 2.0))
 
 
 def deadline_unreachable(late: Millis) -> Failure:
     """Return the refusal of a request that cannot finish before its deadline.
 
     Args:
-        late: By how much it would miss the deadline; after that time a like request would not.
+        late: Time by which the request would miss its deadline. A similar request sent after that
+            delay would meet its deadline.
     """
     message = "The request cannot finish before its deadline."
-    return rate_limited("deadline_unreachable", message, retry_after_ms=bounded_retry(late))
+    return rate_limited("deadline_unreachable", message, retry_after_ms=clamp_retry_delay(late))
 
 
-def bounded_retry(wait: Millis) -> Millis:
-    """Return ``wait`` within the least and the longest time to come back."""
-    return min(MOST_RETRY_MS, max(LEAST_RETRY_MS, wait))
+def clamp_retry_delay(wait: Millis) -> Millis:
+    """Return ``wait``, clamped to the range of retry delays."""
+    return min(_MAX_RETRY, max(_MIN_RETRY, wait))
--- a/packages/core/src/carobspool_core/_shares.py
+++ b/packages/core/src/carobspool_core/_shares.py
@@ -1,15 +1,16 @@
-"""How the entries divide a limit that holds over all of them.
-
-Load pattern: a caller sends everything to one entry, or spreads over all, and changes between the
-two. Fixed equal shares would cut the first to a fraction of its limit; no shares would let the
-second have its limit once for each entry.
-
-Each entry tells the others its demand about once a second. While the total demand is below the
-limit, each entry may use its own demand and an equal part of the rest, so a caller who appears at
-another entry is admitted there at once. Above the limit the parts follow the demand. An entry uses
-its own demand only as it last told the others, so they have made room before it takes more. A live
-entry that is not heard gets its equal part set aside: when reports are lost, all fall back to equal
-parts, whose sum is never above the limit.
+"""Division of a limit among the entries that enforce it together.
+
+Load pattern: a caller sends all requests to one entry, or spreads them over all entries, and
+switches between the two. Fixed equal shares would hold the first to a fraction of its limit;
+without shares, the second would get its limit once per entry.
+
+Each entry reports its demand to the others about once a second. While the total demand is below
+the limit, the share of each entry is its own demand plus an equal part of the rest, so a caller
+that switches to another entry is admitted there immediately. Above the limit the shares are
+proportional to the demand. An entry computes its share from its own demand as last reported, so
+that the other entries have reduced their shares before its share grows. For a live entry without a
+valid report, an equal share is set aside. When reports are lost, all entries therefore fall back to
+equal shares, whose sum never exceeds the limit.
 """
 
 from __future__ import annotations
@@ -22,21 +23,22 @@
 
 from carobspool_core._clock import Millis
 
-REPORT_LAPSES: Millis = 3_500.0
-"""A report counts for three and a half report intervals, so that two lost ones change nothing."""
+_REPORT_LIFETIME: Millis = 3_500.0
+"""Validity of a report: three and a half report intervals, so that two lost ones have no effect."""
 
-_SPARE = 0.05
-"""Part of a limit in full demand that is divided equally, so that an entry without demand so far
-can admit something before its first report. Half of the 10% by which a total may be off."""
+_SPARE_FRACTION = 0.05
+"""Fraction of a fully used limit that is divided equally, so that an entry without demand so far
+can admit requests before its first report. It is half of the 10% by which a total may deviate."""
 
 
-_DIGITS = 6
-"""Digits that decide a tie. Entries add the same demands in another order, and the last digits of
-their sums differ; uncut, two entries could each take the last part, or neither."""
+_SHARE_DECIMALS = 6
+"""Decimal places to which shares are rounded before a comparison. Entries add the same demands in
+different orders, so the last digits of their sums differ. Without rounding, two entries could both
+claim the last unit of a limit, or neither."""
 
 
 class SubjectKind(StrEnum):
-    """What a limit is declared for."""
+    """Kind of subject that a limit applies to."""
 
     CALLER = "caller"
     ORGANISATION = "organisation"
@@ -44,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Subject:
-    """Whom a limit concerns."""
+    """The caller or organisation that a limit applies to."""
 
     kind: SubjectKind
     name: str
@@ -52,13 +54,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Demand:
-    """What was asked of one entry, whether it was admitted or not.
+    """Demand of one subject at one entry, admitted or not.
 
     Attributes:
-        requests: Requests a minute.
-        tokens: Estimated tokens a minute.
-        concurrent: Requests at once.
-        in_flight: Requests admitted and not ended, whatever the entry's part is now.
+        requests: Requests per minute.
+        tokens: Estimated tokens per minute.
+        concurrent: Concurrent requests.
+        in_flight: Admitted requests that have not ended; may exceed the entry's current share.
     """
 
     requests: float = 0.0
@@ -72,20 +74,21 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class UsageReport:
-    """One entry's demand, for the other entries. Subjects that need no more than an equal part of
-    their limit are left out.
+    """Report of one entry's demand to the other entries.
+
+    Subjects whose demand is small compared with an equal share of their limit are left out.
 
     Attributes:
-        entry: Who reports.
-        demands: Its demand by subject.
+        entry: Name of the reporting entry.
+        demands: Demand of the entry by subject.
     """
 
     entry: str
     demands: Mapping[Subject, Demand]
 
 
-class Peers:
-    """What the other entries reported.
+class PeerDemands:
+    """The demands reported by the other entries.
 
     Args:
         entry: Name of this entry.
@@ -94,121 +97,127 @@
     def __init__(self, entry: str) -> None:
         self._entry = entry
         self._live: set[str] = set()
-        self._heard: dict[str, Millis] = {}
-        self._sorted: list[str] | None = None
-        self._reported: dict[str, Mapping[Subject, Demand]] = {}
-        self._demands: dict[Subject, dict[str, Demand]] = {}
+        self._report_times: dict[str, Millis] = {}
+        self._sorted_reporting: list[str] | None = None
+        self._demands_by_entry: dict[str, Mapping[Subject, Demand]] = {}
+        self._demands_by_subject: dict[Subject, dict[str, Demand]] = {}
 
     @property
     def entries(self) -> int:
-        """Live entries, this one included."""
+        """Number of live entries, including this one."""
         return len(self._live) + 1
 
     @property
-    def unheard(self) -> int:
-        """Other live entries without a valid report."""
-        return len(self._live) - len(self._heard)
+    def missing(self) -> int:
+        """Number of other live entries without a valid report."""
+        return len(self._live) - len(self._report_times)
 
     @property
-    def heard(self) -> list[str]:
-        """Other live entries with a valid report, by name."""
-        if self._sorted is None:
-            self._sorted = sorted(self._heard)
-        return self._sorted
+    def reporting(self) -> list[str]:
+        """Sorted names of the other live entries with a valid report."""
+        if self._sorted_reporting is None:
+            self._sorted_reporting = sorted(self._report_times)
+        return self._sorted_reporting
 
     @property
     def rank(self) -> int:
-        """Heard entries whose names come before this one's."""
-        return bisect_left(self.heard, self._entry)
+        """Number of reporting entries whose names sort before this entry's."""
+        return bisect_left(self.reporting, self._entry)
 
     def set_live(self, live: Iterable[str]) -> None:
-        """Set the live entries; what the others reported is forgotten."""
+        """Set the live entries and drop the reports of entries that are not live."""
         self._live = set(live) - {self._entry}
-        for entry in [entry for entry in self._heard if entry not in self._live]:
-            self._forget(entry)
+        for entry in [entry for entry in self._report_times if entry not in self._live]:
+            self._drop_report(entry)
 
     def merge(self, report: UsageReport, now: Millis) -> None:
-        """Take a report in the place of the last one of the same entry."""
+        """Replace the last report of the same entry; ignore an entry that is not live."""
         if report.entry not in self._live:
             return
-        self._forget(report.entry)
-        self._heard[report.entry] = now
-        self._sorted = None
-        self._reported[report.entry] = report.demands
+        self._drop_report(report.entry)
+        self._report_times[report.entry] = now
+        self._sorted_reporting = None
+        self._demands_by_entry[report.entry] = report.demands
         for subject, demand in report.demands.items():
-            self._demands.setdefault(subject, {})[report.entry] = demand
+            self._demands_by_subject.setdefault(subject, {})[report.entry] = demand
 
-    def lapse(self, now: Millis) -> None:
-        """Forget reports that are too old."""
-        for entry, heard in list(self._heard.items()):
-            if now - heard > REPORT_LAPSES:
-                self._forget(entry)
+    def expire(self, now: Millis) -> None:
+        """Drop reports that are too old."""
+        for entry, reported_at in list(self._report_times.items()):
+            if now - reported_at > _REPORT_LIFETIME:
+                self._drop_report(entry)
 
     def demands(self, subject: Subject) -> Mapping[str, Demand]:
-        """Return the demand of each other entry that reported any."""
-        return self._demands.get(subject, {})
-
-    def _forget(self, entry: str) -> None:
-        self._heard.pop(entry, None)
-        self._sorted = None
-        for subject in self._reported.pop(entry, {}):
-            demands = self._demands[subject]
+        """Return the reported demand of a subject by entry."""
+        return self._demands_by_subject.get(subject, {})
+
+    def _drop_report(self, entry: str) -> None:
+        self._report_times.pop(entry, None)
+        self._sorted_reporting = None
+        for subject in self._demands_by_entry.pop(entry, {}):
+            demands = self._demands_by_subject[subject]
             del demands[entry]
             if not demands:
-                del self._demands[subject]
+                del self._demands_by_subject[subject]
 
 
-def share_rate(limit: float, own: float, others: float, entries: int, unheard: int) -> float:
-    """Return this entry's part of a rate limit.
+def share_rate(limit: float, own: float, others: float, entries: int, missing: int) -> float:
+    """Return this entry's share of a rate limit.
 
     Args:
         limit: The declared limit.
-        own: This entry's demand, as it last told the others.
-        others: Sum of the demand of the others.
-        entries: Live entries.
-        unheard: Entries among them without a valid report; each gets its equal part set aside.
+        own: This entry's demand, as last reported to the other entries.
+        others: Sum of the demands of the other entries.
+        entries: Number of live entries.
+        missing: Number of live entries without a valid report; an equal share is set aside for
+            each.
     """
-    heard = entries - unheard
-    shared = limit * heard / entries
+    reporting = entries - missing
+    shared = limit * reporting / entries
     demand = own + others
-    if demand <= (1.0 - _SPARE) * shared:
-        return own + (shared - demand) / heard
-    return (1.0 - _SPARE) * shared * own / demand + _SPARE * shared / heard
+    if demand <= (1.0 - _SPARE_FRACTION) * shared:
+        return own + (shared - demand) / reporting
+    return (1.0 - _SPARE_FRACTION) * shared * own / demand + _SPARE_FRACTION * shared / reporting
 
 
-def share_count(limit: int, own: float, others: Sequence[Demand], rank: int, unheard: int) -> int:
-    """Return this entry's part of a bound on requests at once.
+def share_count(limit: int, own: float, others: Sequence[Demand], rank: int, missing: int) -> int:
+    """Return this entry's share of a limit on concurrent requests.
 
-    Whole parts are dealt out by largest remainder, so that the parts of all entries, which work
-    them out from the same reports, add up to the limit. What another entry still has in flight
-    above its part is taken off: its part shrank, and its requests take their time to end. Without
-    that, the total goes over the bound each time that parts move.
+    Whole units are allocated by the largest remainder method. All entries compute the allocation
+    from the same reports, so their shares add up to the limit. The requests that another entry has
+    in flight beyond its share are subtracted: the share of that entry shrank, and its requests have
+    not ended yet. Without this, the total would exceed the limit whenever shares change.
 
     Args:
         limit: The declared limit.
-        own: This entry's demand, as it last told the others.
-        others: Demand of each other entry that is heard, also of those that have none.
-        rank: Entries among ``others`` that come before this one in case of a tie.
-        unheard: Live entries without a valid report.
+        own: This entry's demand, as last reported to the other entries.
+        others: Demand of each reporting entry, including those without demand.
+        rank: Number of entries among ``others`` that take precedence over this entry in a tie.
+        missing: Number of live entries without a valid report.
     """
-    heard = 1 + len(others)
-    total = limit * heard // (heard + unheard)
+    reporting = 1 + len(others)
+    total = limit * reporting // (reporting + missing)
     demand = own + sum(other.concurrent for other in others)
-    mine = _exact_part(total, own, demand, heard)
-    parts = [_exact_part(total, other.concurrent, demand, heard) for other in others]
-    left = total - int(mine) - sum(int(part) for part in parts)
-    fraction = mine - int(mine)
-    ahead = sum(1 for index, part in enumerate(parts) if _precedes(part, fraction, index < rank))
-    over = sum(
-        max(0, other.in_flight - math.ceil(part)) for other, part in zip(others, parts, strict=True)
+    own_share = _exact_share(total, own, demand, reporting)
+    peer_shares = [_exact_share(total, other.concurrent, demand, reporting) for other in others]
+    left = total - int(own_share) - sum(int(peer_share) for peer_share in peer_shares)
+    fraction = own_share - int(own_share)
+    ahead = sum(
+        1
+        for index, peer_share in enumerate(peer_shares)
+        if _precedes(peer_share, fraction, index < rank)
+    )
+    excess = sum(
+        max(0, other.in_flight - math.ceil(peer_share))
+        for other, peer_share in zip(others, peer_shares, strict=True)
     )
-    return max(0, int(mine) + int(ahead < left) - over)
+    return max(0, int(own_share) + int(ahead < left) - excess)
 
 
-def _exact_part(total: int, own: float, demand: float, heard: int) -> float:
-    return round(share_rate(total, own, demand - own, heard, 0), _DIGITS)
+def _exact_share(total: int, own: float, demand: float, reporting: int) -> float:
+    return round(share_rate(total, own, demand - own, reporting, 0), _SHARE_DECIMALS)
 
 
-def _precedes(part: float, fraction: float, earlier: bool) -> bool:
-    remainder = part - int(part)
-    return remainder > fraction or (remainder == fraction and earlier)
+def _precedes(peer_share: float, fraction: float, wins_tie: bool) -> bool:
+    remainder = peer_share - int(peer_share)
+    return remainder > fraction or (remainder == fraction and wins_tie)
--- a/packages/core/src/carobspool_core/_tickets.py
+++ b/packages/core/src/carobspool_core/_tickets.py
@@ -1,4 +1,4 @@
-"""What waits in a fair queue, and the bounds of one."""
+"""Entries and bounds of a fair queue."""
 
 from __future__ import annotations
 
@@ -16,8 +16,9 @@
     """Bounds of a queue.
 
     Attributes:
-        total: Requests that wait at once. Beyond it the newest request of the heaviest caller goes.
-        per_caller: Requests of one caller that wait at once.
+        total: Maximum number of waiting requests. When it is exceeded, the newest request of the
+            heaviest caller is evicted.
+        per_caller: Maximum number of waiting requests of one caller.
     """
 
     total: int = 2048
@@ -29,12 +30,12 @@
     """One waiting request.
 
     Attributes:
-        id: The request.
-        caller: Whose share it uses.
-        weight: The caller's share; positive.
+        id: Identity of the request.
+        caller: Caller whose share the request uses.
+        weight: Weight of the caller; positive.
         cost: Estimated tokens, prompt and answer together.
-        start_by: Latest instant at which starting it still meets its deadline.
-        item: What the owner of the queue wants back.
+        start_by: Latest start with which the request still meets its deadline.
+        item: Payload returned to the owner of the queue.
     """
 
     id: RequestId
--- a/packages/core/tests/test_fairqueue.py
+++ b/packages/core/tests/test_fairqueue.py
@@ -1,4 +1,4 @@
-"""Tests of the fair queue over callers."""
+"""Tests of fair queueing across callers."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def fill(queue: FairQueue[str], callers: dict[str, int], weights: dict[str, float]) -> None:
-    """Queue so many requests of each caller, one caller after the other."""
+    """Queue the given number of requests of each caller, one caller after the other."""
     count = 0
     for caller, requests in callers.items():
         for _ in range(requests):
@@ -32,7 +32,7 @@
 
 
 def test_hot_caller_does_not_delay_the_others() -> None:
-    """A caller with one request is served second, however many a hot caller queued before."""
+    """A caller with one request is served second at the latest, behind 200 requests of another."""
     queue: FairQueue[str] = make_fair_queue()
     fill(queue, {"hot": 200, "editor": 1}, {})
     served = [queue.pop(), queue.pop()]
@@ -40,24 +40,24 @@
 
 
 def test_service_follows_weights() -> None:
-    """Of the first 40 served, a caller with three times the weight has three quarters."""
+    """A caller with three times the weight gets three quarters of the first 40 requests served."""
     queue: FairQueue[str] = make_fair_queue()
     fill(queue, {"heavy": 100, "light": 100}, {"heavy": 3.0})
     served = Counter(ticket.item for ticket in (queue.pop() for _ in range(40)) if ticket)
     assert abs(served["heavy"] - 30) <= 1
 
 
-def test_full_queue_pushes_out_the_heaviest_caller_not_the_newcomer() -> None:
-    """An editor still gets in when one caller's script has filled the queue."""
+def test_full_queue_evicts_from_the_heaviest_caller() -> None:
+    """A light caller is still queued after one caller has filled the queue."""
     queue: FairQueue[str] = make_fair_queue(QueueBounds(total=10, per_caller=10))
     fill(queue, {"hot": 10}, {})
-    (pushed_out,) = queue.push(make_ticket(11, "editor"), 0.0).unwrap()
-    assert pushed_out.item == "hot"
+    (evicted,) = queue.push(make_ticket(11, "editor"), 0.0).unwrap()
+    assert evicted.item == "hot"
     assert not is_successful(queue.push(make_ticket(12, "hot"), 0.0))
 
 
-def test_request_that_cannot_start_in_time_is_refused_with_when_to_come_back() -> None:
-    """A request behind 1,000 tokens at one a millisecond is refused at once if it has 500 ms."""
+def test_request_that_cannot_start_in_time_is_refused_with_a_retry_delay() -> None:
+    """With 1,000 tokens queued at one per millisecond, a 500 ms deadline is refused immediately."""
     queue: FairQueue[str] = make_fair_queue()
     queue.set_rate(1.0)
     fill(queue, {"editor": 10}, {})
@@ -67,8 +67,8 @@
     assert refusal.retry_after_ms >= 500.0
 
 
-def test_expired_requests_come_out_at_once_and_in_time_order() -> None:
-    """What can no longer start in time leaves the queue; the rest stays."""
+def test_expire_removes_late_requests_in_deadline_order() -> None:
+    """Requests that can no longer start in time are removed; the others stay."""
     queue: FairQueue[str] = make_fair_queue()
     for count, start_by in enumerate([30.0, 10.0, 20.0]):
         queue.push(make_ticket(count, "editor", start_by=start_by), 0.0)
@@ -77,8 +77,8 @@
     assert len(queue) == 1
 
 
-def test_nothing_is_kept_of_idle_callers() -> None:
-    """Of 30,000 callers that were served, an empty queue holds nothing."""
+def test_idle_callers_leave_no_state() -> None:
+    """After serving 30,000 callers, the empty queue has no state of any caller."""
     queue: FairQueue[str] = make_fair_queue(QueueBounds(total=40_000))
     fill(queue, {f"poet-{index}": 1 for index in range(30_000)}, {})
     while queue.pop() is not None:
@@ -88,37 +88,37 @@
 
 @settings(derandomize=True)
 @given(st.lists(st.tuples(st.integers(0, 4), st.sampled_from("abc"), st.integers(1, 500))))
-def test_each_request_comes_out_once_whatever_happens(
+def test_each_request_leaves_exactly_once_in_any_interleaving(
     steps: list[tuple[int, str, int]],
 ) -> None:
-    """Over any mix of pushes, pops, removals and expiries nothing is lost, doubled or overrun."""
+    """No mix of operations loses a request, returns one twice or exceeds the bounds."""
     queue: FairQueue[str] = make_fair_queue(QueueBounds(total=6, per_caller=4))
-    inside: set[RequestId] = set()
+    queued: set[RequestId] = set()
     for now, (action, caller, cost) in enumerate(steps):
-        gone: list[Ticket[str]] = []
+        removed_tickets: list[Ticket[str]] = []
         if action <= 1:
             ticket = make_ticket(now, caller, cost=cost, start_by=now + cost)
-            answer = queue.push(ticket, now)
-            if is_successful(answer):
-                inside.add(ticket.id)
-                gone += answer.unwrap()
+            pushed = queue.push(ticket, now)
+            if is_successful(pushed):
+                queued.add(ticket.id)
+                removed_tickets += pushed.unwrap()
         elif action == 2:
             popped = queue.pop()
-            assert (popped is None) == (not inside)
-            gone += [popped] if popped is not None else []
-        elif action == 3 and inside:
-            removed = queue.remove(min(inside))
-            gone += [removed] if removed is not None else []
+            assert (popped is None) == (not queued)
+            removed_tickets += [popped] if popped is not None else []
+        elif action == 3 and queued:
+            removed = queue.remove(min(queued))
+            removed_tickets += [removed] if removed is not None else []
         elif action == 4:
-            gone += queue.expire(now)
-        for ticket in gone:
-            inside.remove(ticket.id)
-        assert len(queue) == len(inside) <= 6
+            removed_tickets += queue.expire(now)
+        for ticket in removed_tickets:
+            queued.remove(ticket.id)
+        assert len(queue) == len(queued) <= 6
         assert queue.cost >= 0.0
 
 
 def test_backlogged_callers_differ_by_at_most_one_request() -> None:
-    """The gap in tokens served between two busy callers never exceeds their largest requests."""
+    """Tokens served to any two busy callers differ by at most twice the largest request."""
     rng = random.Random(3)
     queue: FairQueue[str] = make_fair_queue(QueueBounds(total=4000, per_caller=1000))
     for count in range(1500):
--- a/packages/core/tests/test_limits.py
+++ b/packages/core/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Tests of limits over several entries, judged by what callers are admitted."""
+"""Tests of limits enforced by several entries, by the number of admitted requests."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
 MINUTE = 60_000
 TICK = 10
 HOLD_MS = 2_000
-FREE = Organisation(name="hollowbrook")
+UNLIMITED = Organisation(name="hollowbrook")
 
 
 def make_caller(limits: Limits, name: str = "editor") -> Caller:
-    """Return a caller with these limits, of an organisation without."""
-    return Caller(id=name, organisation=FREE.name, key_hashes=(), limits=limits)
+    """Return a caller with ``limits``, in an organisation without limits."""
+    return Caller(id=name, organisation=UNLIMITED.name, key_hashes=(), limits=limits)
 
 
 class Fleet:
-    """Entries that report to each other once a second; some reports are lost."""
+    """Entries that exchange reports once a second, with a given rate of lost reports."""
 
     def __init__(self, entries: int, loss: float = 0.0) -> None:
         self.clock = ManualClock()
@@ -46,7 +46,7 @@
             limiter.set_entries(self.names)
 
     def run(self, caller: Caller, rates: dict[str, float], minutes: int, cost: int = 100) -> None:
-        """Offer so many requests a second at each entry, each held for two seconds."""
+        """Offer requests at the given rate per second and entry; each runs for two seconds."""
         for _ in range(minutes * MINUTE // TICK):
             self.clock.advance(TICK)
             now = self.clock.now()
@@ -62,7 +62,7 @@
     def offer(self, name: str, caller: Caller, cost: int) -> None:
         now = self.clock.now()
         limiter = self.limiters[name]
-        answer = limiter.admit(caller, FREE, cost, now)
+        answer = limiter.admit(caller, UNLIMITED, cost, now)
         if is_successful(answer):
             self.held.append((now + HOLD_MS, limiter, answer.unwrap()))
             self.peak = max(self.peak, len(self.held))
@@ -79,7 +79,7 @@
                     self.limiters[name].merge(report, now)
 
     def remove(self, name: str) -> None:
-        """Let an entry die without a word; the host list tells the others."""
+        """Remove an entry that fails without notice; the others learn it from the host list."""
         self.names.remove(name)
         for other in self.names:
             self.limiters[other].set_entries(self.names)
@@ -93,8 +93,8 @@
 
 
 @pytest.mark.parametrize("spread", SPREADS)
-def test_hot_caller_gets_its_requests_a_minute_wherever_it_sends(spread: str) -> None:
-    """A caller at four times its limit is admitted within 10% of it in each full minute."""
+def test_requests_per_minute_are_enforced_for_any_spread_over_entries(spread: str) -> None:
+    """Of a caller at four times its limit, the limit is admitted each full minute, within 10%."""
     fleet = Fleet(4)
     fleet.run(make_caller(Limits(requests_per_minute=600)), SPREADS[spread], minutes=4)
     for minute in (1, 2, 3):
@@ -102,8 +102,8 @@
 
 
 @pytest.mark.parametrize("spread", SPREADS)
-def test_hot_caller_gets_its_tokens_a_minute_wherever_it_sends(spread: str) -> None:
-    """The same holds for a limit in tokens."""
+def test_tokens_per_minute_are_enforced_for_any_spread_over_entries(spread: str) -> None:
+    """A token limit is enforced within 10% in each full minute."""
     fleet = Fleet(4)
     fleet.run(make_caller(Limits(tokens_per_minute=60_000)), SPREADS[spread], minutes=4)
     for minute in (1, 2, 3):
@@ -111,8 +111,8 @@
 
 
 @pytest.mark.parametrize("spread", SPREADS)
-def test_requests_at_once_stay_at_their_bound(spread: str) -> None:
-    """A caller held to 20 requests at once, of two seconds each, gets 10 a second and never 23."""
+def test_concurrent_requests_are_bounded_for_any_spread_over_entries(spread: str) -> None:
+    """With a limit of 20, requests of two seconds run 10 per second and never 23 at a time."""
     fleet = Fleet(4)
     fleet.run(make_caller(Limits(concurrent=20)), SPREADS[spread], minutes=3)
     assert fleet.peak <= 22
@@ -120,8 +120,8 @@
         assert fleet.admitted[minute] >= 540
 
 
-def test_caller_that_moves_to_another_entry_keeps_its_limit() -> None:
-    """After a hammered entry is left for another, both minutes stay within 10% of the limit."""
+def test_caller_that_switches_entries_keeps_its_limit() -> None:
+    """Before and after a caller switches entries, each minute stays within 10% of its limit."""
     fleet = Fleet(4)
     caller = make_caller(Limits(requests_per_minute=600))
     fleet.run(caller, {"entry-0": 40.0}, minutes=2)
@@ -132,10 +132,10 @@
 
 @pytest.mark.parametrize("loss", [0.3, 1.0])
 def test_lost_reports_never_raise_the_total(loss: float) -> None:
-    """What happens: reports between entries are lost, some or all of them.
+    """Some or all reports between the entries are lost.
 
-    The caller must not get its limit once for each entry. An entry that is not heard has its equal
-    part set aside, so the total stays at the limit; a caller at all entries still gets it.
+    The caller must not get its limit once per entry. For each entry without a valid report an equal
+    share is set aside, so the total stays at the limit, and a caller at all entries reaches it.
     """
     fleet = Fleet(4, loss=loss)
     caller = make_caller(Limits(requests_per_minute=600))
@@ -144,11 +144,11 @@
         assert 500 <= fleet.admitted[minute] <= 660
 
 
-def test_share_of_a_dead_entry_goes_to_the_others() -> None:
-    """What happens: the hammered entry dies and its caller goes on at another.
+def test_share_of_a_failed_entry_goes_to_the_others() -> None:
+    """An entry with nearly the whole share of a limit fails, and its caller switches to another.
 
-    The dead entry held nearly the whole limit. Once the host list drops it, its share is free and
-    the caller has its limit again; no report ever said so.
+    No report announces the failure. Once the host list no longer has the entry, its share returns
+    to the others and the caller reaches its limit again.
     """
     fleet = Fleet(4)
     caller = make_caller(Limits(requests_per_minute=600))
@@ -158,20 +158,20 @@
     assert 540 <= fleet.admitted[3] <= 660
 
 
-def test_refusal_tells_when_to_come_back() -> None:
-    """A refused caller that waits as long as it was told is admitted."""
+def test_request_after_the_retry_delay_is_admitted() -> None:
+    """A refused caller that retries after ``retry_after_ms`` is admitted."""
     clock = ManualClock()
     limiter = make_limiter(clock, "entry-0")
     caller = make_caller(Limits(requests_per_minute=30))
-    answers = [limiter.admit(caller, FREE, 1, 0.0) for _ in range(10)]
+    answers = [limiter.admit(caller, UNLIMITED, 1, 0.0) for _ in range(10)]
     refusal = next(answer for answer in answers if not is_successful(answer)).failure()
     assert refusal.status == 429
     assert refusal.retry_after_ms is not None
-    assert is_successful(limiter.admit(caller, FREE, 1, refusal.retry_after_ms))
+    assert is_successful(limiter.admit(caller, UNLIMITED, 1, refusal.retry_after_ms))
 
 
-def test_nothing_is_kept_of_idle_organisations() -> None:
-    """Of 30,000 organisations that sent one request each, nothing is kept a minute later."""
+def test_idle_organisations_leave_no_state() -> None:
+    """A minute after one request each of 30,000 organisations, the limiter has no state of them."""
     clock = ManualClock()
     limiter = make_limiter(clock, "entry-0")
     caller = make_caller(Limits())
