--- a/packages/core/src/carobspool_core/_spans.py
+++ b/packages/core/src/carobspool_core/_spans.py
@@ -1,4 +1,7 @@
-"""Sets of item indexes as sorted, disjoint, half-open spans: a finished chunk is one span."""
+"""Sets of item indexes as sorted, disjoint, half-open spans.
+
+A completed chunk takes a single span, however many items it has.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,7 @@
 
 
 def spans_of(indexes: Iterable[int]) -> Spans:
-    """Return the spans that hold exactly ``indexes``."""
+    """Return the spans that contain exactly ``indexes``."""
     merged: list[Span] = []
     for index in sorted(set(indexes)):
         if merged and merged[-1][1] == index:
@@ -20,18 +23,18 @@
 
 
 def span_indexes(spans: Spans) -> Iterator[int]:
-    """Yield each index in ascending order."""
+    """Yield the indexes in ascending order."""
     for start, stop in spans:
         yield from range(start, stop)
 
 
 def span_count(spans: Spans) -> int:
-    """Return how many indexes the spans hold."""
+    """Return the number of indexes in ``spans``."""
     return sum(stop - start for start, stop in spans)
 
 
 def unite_spans(first: Spans, second: Spans) -> Spans:
-    """Return the spans of the indexes that stand in either."""
+    """Return the union of two sets of spans."""
     merged: list[Span] = []
     for start, stop in sorted([*first, *second]):
         if merged and start <= merged[-1][1]:
@@ -42,21 +45,21 @@
 
 
 def subtract_spans(first: Spans, second: Spans) -> Spans:
-    """Return the spans of the indexes that stand in ``first`` and not in ``second``."""
-    left: list[Span] = []
+    """Return the spans of the indexes in ``first`` but not in ``second``."""
+    remaining: list[Span] = []
     for start, stop in first:
         position = start
         for low, high in second:
             if high <= position or low >= stop:
                 continue
             if low > position:
-                left.append((position, low))
+                remaining.append((position, low))
             position = high
         if position < stop:
-            left.append((position, stop))
-    return tuple(left)
+            remaining.append((position, stop))
+    return tuple(remaining)
 
 
 def spans_overlap(first: Spans, second: Spans) -> bool:
-    """Tell whether an index stands in both."""
+    """Return whether ``first`` and ``second`` have an index in common."""
     return any(start < high and low < stop for start, stop in first for low, high in second)
--- a/packages/core/tests/test_spans.py
+++ b/packages/core/tests/test_spans.py
@@ -1,4 +1,4 @@
-"""Tests of spans against plain sets."""
+"""Tests of span operations against sets of integers."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @given(INDEXES, INDEXES)
 def test_spans_agree_with_sets(first: set[int], second: set[int]) -> None:
-    """Union, difference and overlap of spans are those of the sets of indexes."""
+    """Union, difference and overlap agree with those of the sets of indexes."""
     left, right = spans_of(first), spans_of(second)
     assert list(span_indexes(left)) == sorted(first)
     assert unite_spans(left, right) == spans_of(first | second)
