--- a/packages/core/src/carobspool_core/_fairqueue.py
+++ b/packages/core/src/carobspool_core/_fairqueue.py
@@ -87,7 +87,7 @@
         return self._cost
 
     @property
-    def callers_held(self) -> int:
+    def caller_count(self) -> int:
         """Number of callers with state in the queue, with or without waiting requests."""
         return len(self._backlogs) + len(self._idle_tags)
 
--- a/packages/core/src/carobspool_core/_harm.py
+++ b/packages/core/src/carobspool_core/_harm.py
@@ -72,7 +72,7 @@
             self._first_token_in_step.append((id, awaited[0], awaited[1]))
 
     def drop(self, id: RequestId) -> None:
-        """Drop an online request that ended, if it has had no first token."""
+        """Drop an online request that ended or was refused before its first token."""
         self._awaiting_first_token.pop(id, None)
 
     def record_step(self, step: Step) -> None:
--- a/packages/core/src/carobspool_core/_limits.py
+++ b/packages/core/src/carobspool_core/_limits.py
@@ -177,12 +177,12 @@
         peer_demands = self._peers.demands(subject)
         own = account.reported
         if limits.requests_per_minute is not None:
-            demand = sum(other.requests for other in peer_demands.values())
-            share = self._rate_share(limits.requests_per_minute, own.requests, demand)
+            peer_demand = sum(other.requests for other in peer_demands.values())
+            share = self._rate_share(limits.requests_per_minute, own.requests, peer_demand)
             account.requests.set_rate(share, now)
         if limits.tokens_per_minute is not None:
-            demand = sum(other.tokens for other in peer_demands.values())
-            share = self._rate_share(limits.tokens_per_minute, own.tokens, demand)
+            peer_demand = sum(other.tokens for other in peer_demands.values())
+            share = self._rate_share(limits.tokens_per_minute, own.tokens, peer_demand)
             account.tokens.set_rate(share, now)
         if limits.concurrent is not None:
             reporting = [peer_demands.get(entry, NO_DEMAND) for entry in self._peers.reporting]
@@ -191,8 +191,8 @@
                 limits.concurrent, own.concurrent, reporting, rank, missing
             )
 
-    def _rate_share(self, limit: float, own: float, peer_demands: float) -> float:
-        return share_rate(limit, own, peer_demands, self._peers.entries, self._peers.missing)
+    def _rate_share(self, limit: float, own: float, peer_demand: float) -> float:
+        return share_rate(limit, own, peer_demand, self._peers.entries, self._peers.missing)
 
     def _reportable_demand(self, account: Account) -> Demand:
         limits = account.limits
--- a/packages/core/src/carobspool_core/_pacing.py
+++ b/packages/core/src/carobspool_core/_pacing.py
@@ -9,12 +9,12 @@
   online gaps between tokens may be longer than the limit. Each gap adds a twentieth of a unit to
   the budget, less a small margin; each gap above the limit costs one unit. A batch prompt starts
   when the budget covers the online streams that the prompt would stall. This favours the tail of a
-  burst, where few streams are affected. Starts do not follow a timer.
+  burst, where few streams are affected. Once the step costs are known, no timer starts prompts.
 - **The number of batch streams follows from the step costs.** While online requests keep arriving,
-  decoding batch streams may delay a first token by no more than the limit allows; if more first
-  tokens were late than the limit permits, by as little as half of that. In the tail of a burst,
-  when online streams still decode but no request waits for its first token, batch requests use
-  every free slot again.
+  decoding batch streams may delay a first token by no more than the limit allows. This allowance
+  shrinks, at most to half, when more first tokens were late than the limit permits. In the tail of
+  a burst, when online streams still decode but no request waits for its first token, batch requests
+  use every free slot again.
 """
 
 from __future__ import annotations
--- a/packages/core/src/carobspool_core/_work.py
+++ b/packages/core/src/carobspool_core/_work.py
@@ -113,8 +113,8 @@
         first_token_ewma: Moving average of the time from offer to first token of online requests.
         between_tokens_ewma: Moving average of the time between tokens of online requests.
         width: Number of batch streams allowed to run now.
-        prompt_starts: Number of batch prompts started since the process started.
-        preemptions: Number of batch streams preempted since the process started.
+        prompt_starts: Number of batch prompts started since creation.
+        preemptions: Number of batch streams preempted since creation.
     """
 
     running_online: int
--- a/packages/core/tests/test_admission.py
+++ b/packages/core/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Tests of the admission control of an upstream, most of them against a simulated engine."""
+"""Tests of the admission control of one upstream, some of them against a simulated engine."""
 
 from __future__ import annotations
 
@@ -201,7 +201,7 @@
 
 @functools.cache
 def overload(factor: int) -> dict[str, int]:
-    """Return counts of outcomes in a minute of overload after half a minute below capacity."""
+    """Return the outcomes of requests in the minute that follows half a minute below capacity."""
     top = 6.8 * factor
     arrivals = model.varying(1, lambda t: top if t > 30.0 else 6.0, top, deadline=10_000.0)
     _, online = model.run(AdmissionSettings(), arrivals, seconds=100.0)
--- a/packages/core/tests/test_fairqueue.py
+++ b/packages/core/tests/test_fairqueue.py
@@ -83,7 +83,7 @@
     fill(queue, {f"poet-{index}": 1 for index in range(30_000)}, {})
     while queue.pop() is not None:
         continue
-    assert queue.callers_held == 0
+    assert queue.caller_count == 0
 
 
 @settings(derandomize=True)
--- a/packages/core/tests/test_limits.py
+++ b/packages/core/tests/test_limits.py
@@ -112,7 +112,7 @@
 
 @pytest.mark.parametrize("spread", SPREADS)
 def test_concurrent_requests_are_bounded_for_any_spread_over_entries(spread: str) -> None:
-    """With a limit of 20, requests of two seconds run 10 per second and never 23 at a time."""
+    """With a limit of 20, requests of two seconds run at 10 per second and never 23 at a time."""
     fleet = Fleet(4)
     fleet.run(make_caller(Limits(concurrent=20)), SPREADS[spread], minutes=3)
     assert fleet.peak <= 22
