--- a/packages/core/src/carobspool_core/_dispatch.py
+++ b/packages/core/src/carobspool_core/_dispatch.py
@@ -1,13 +1,15 @@
-"""Batch dispatch at an entry: which job the next granted credit goes to.
+"""Batch dispatch at an entry: assigns each granted credit to a job.
 
-Load pattern: thousands of jobs of very unequal size wait for credits that come in handfuls, between
-bursts of online work. In order of arrival a job of 560,000 items holds up one of 20 for hours; by
-shares alone a job due at dawn gets no more than one due next week.
+Load pattern: thousands of jobs of very unequal size wait for credits, which arrive a few at a time
+between bursts of online work. In order of arrival, a job of 560,000 items would delay a job of 20
+items by hours. With fair shares alone, a job due in a few hours would get no more credits than a
+job due next week.
 
-Credits go by stride scheduling: each organisation advances a virtual time by 1 / weight for an
-item, and the one furthest behind is next; within it jobs take turns the same way. Up to half of
-the credits go to jobs whose due time is in danger (``_due_times``), the earliest due first. These
-are not charged to the organisation, or its other jobs would pay for them.
+Credits are assigned by stride scheduling: each item advances the virtual time of its organisation
+by 1 / weight, and the organisation with the lowest virtual time is next. Jobs within an
+organisation are scheduled in the same way. Up to half of the credits go to jobs that are at risk of
+missing their due time (see ``_due_times``), in order of due time. These credits are not charged to
+the organisation; otherwise its other jobs would get fewer.
 
 An entry uses one dispatcher for each target, since credits are granted by target.
 """
@@ -18,16 +20,17 @@
 import itertools
 
 from carobspool_core._clock import Clock, Millis
-from carobspool_core._dispatch_jobs import Job, JobShare, Organisation
-from carobspool_core._due_times import URGENT_SHARE, DueTimes
+from carobspool_core._dispatch_jobs import JobShare, OrganisationQueue, QueuedJob
+from carobspool_core._due_times import URGENT_SHARE, DueTimeMonitor
 
 
 class Dispatcher:
-    """Jobs of one target with items ready at this entry.
+    """Assigns the credits of one target to the jobs that have items ready at this entry.
 
     Args:
         clock: The process's clock.
-        entries: Entries that work on the same jobs; scales the rate with which they finish.
+        entries: Number of entries that work on the same jobs; the rate at which jobs progress is
+            this entry's rate times this number.
 
     Since 0.1.
     """
@@ -39,23 +42,23 @@
         "_organisations",
         "_ready",
         "_serials",
-        "_time",
+        "_virtual_time",
         "_urgent_credits",
     )
 
     def __init__(self, clock: Clock, entries: int) -> None:
         self._entries = entries
-        self._jobs: dict[str, Job] = {}
-        self._organisations: dict[str, Organisation] = {}
-        self._ready: list[tuple[float, int, Organisation]] = []
+        self._jobs: dict[str, QueuedJob] = {}
+        self._organisations: dict[str, OrganisationQueue] = {}
+        self._ready: list[tuple[float, int, OrganisationQueue]] = []
         self._serials = itertools.count()
-        self._time = 0.0
+        self._virtual_time = 0.0
         self._urgent_credits = 0.0
-        self._due_times = DueTimes(clock.now())
+        self._due_times = DueTimeMonitor(clock.now())
 
     @property
     def entries(self) -> int:
-        """Entries that work on the same jobs."""
+        """Number of entries that work on the same jobs."""
         return self._entries
 
     @entries.setter
@@ -63,90 +66,96 @@
         self._entries = max(1, count)
 
     def add_job(self, share: JobShare) -> None:
-        """Add a job without items ready, or replace what is known of one."""
-        known = self._jobs.get(share.id)
-        if known is not None:
-            known.items_left = share.items_left
-            known.due = share.due
-            known.organisation.weight = share.weight
+        """Add a job that has no ready items yet, or update a job that was added before."""
+        existing = self._jobs.get(share.id)
+        if existing is not None:
+            existing.items_left = share.items_left
+            existing.due = share.due
+            existing.organisation.weight = share.weight
             return
         organisation = self._organisations.get(share.organisation)
         if organisation is None:
-            organisation = Organisation(share.organisation, share.weight, next(self._serials))
+            organisation = OrganisationQueue(share.organisation, share.weight, next(self._serials))
             self._organisations[share.organisation] = organisation
         organisation.weight = share.weight
-        organisation.jobs += 1
-        self._jobs[share.id] = Job(share, organisation, next(self._serials))
+        organisation.job_count += 1
+        self._jobs[share.id] = QueuedJob(share, organisation, next(self._serials))
 
     def remove_job(self, id: str) -> None:
-        """Forget a job that finished or was cancelled; nothing is taken from it any more."""
+        """Remove a job that finished or was cancelled; its ready items are not dispatched."""
         job = self._jobs.pop(id, None)
         if job is None:
             return
         job.removed = True
-        job.organisation.jobs -= 1
-        if not job.organisation.jobs:
+        job.organisation.job_count -= 1
+        if not job.organisation.job_count:
             self._organisations.pop(job.organisation.name, None)
 
     def offer(self, job_id: str, count: int) -> None:
-        """Say that ``count`` more items of a job are ready here to be run."""
+        """Add ``count`` items of a job that are ready to be run at this entry."""
         job = self._jobs.get(job_id)
         if job is None or count <= 0:
             return
-        job.offered += count
-        self._queue(job)
-        self._due_times.queue(job)
+        job.ready_items += count
+        self._enqueue(job)
+        self._due_times.enqueue(job)
 
     def take(self, credits: int, now: Millis) -> list[str]:
-        """Spend up to ``credits`` credits.
+        """Assign up to ``credits`` credits to jobs, one item for each credit.
 
         Returns:
-            Ids of the jobs to take one item from, in order; shorter when nothing more is ready.
+            One job id for each assigned credit, in order of dispatch; fewer than ``credits`` when
+            no more items are ready.
         """
-        self._due_times.review(self._jobs.values(), self._entries, now)
-        taken: list[str] = []
-        # Kept over calls: credits also come one by one, and half of one is none or all.
+        self._due_times.refresh(self._jobs.values(), self._entries, now)
+        dispatched: list[str] = []
+        # The remainder carries over to the next call: credits may arrive singly, and half of one
+        # credit would round to none or to all of it.
         earned = self._urgent_credits + credits * URGENT_SHARE
         self._urgent_credits = min(earned, max(1.0, float(credits)))
-        while len(taken) < credits:
-            job = self._due_times.next(now) if self._urgent_credits >= 1.0 else None
+        while len(dispatched) < credits:
+            job = self._due_times.next_urgent(now) if self._urgent_credits >= 1.0 else None
             if job is not None:
                 self._urgent_credits -= 1.0
-                job.take()
+                job.consume_item()
             else:
-                job = self._take_fair()
+                job = self._next_by_share()
             if job is None:
                 break
-            taken.append(job.id)
-        self._due_times.note_taken(len(taken), now, limited=len(taken) == credits)
-        return taken
-
-    def _take_fair(self) -> Job | None:
+            dispatched.append(job.id)
+        self._due_times.record_dispatched(
+            len(dispatched), now, credit_limited=len(dispatched) == credits
+        )
+        return dispatched
+
+    def _next_by_share(self) -> QueuedJob | None:
+        """Consume an item of the job that is next by fair shares, and return that job."""
         while self._ready:
-            time, _, organisation = heapq.heappop(self._ready)
+            virtual_time, _, organisation = heapq.heappop(self._ready)
             organisation.queued = False
-            job = organisation.pop()
+            job = organisation.pop_job()
             if job is None:
                 continue
-            self._time = time
-            organisation.time = time + 1.0 / organisation.weight
-            job.take()
-            self._queue(job)
-            self._queue_organisation(organisation)
+            self._virtual_time = virtual_time
+            organisation.virtual_time = virtual_time + 1.0 / organisation.weight
+            job.consume_item()
+            self._enqueue(job)
+            self._enqueue_organisation(organisation)
             return job
         return None
 
-    def _queue(self, job: Job) -> None:
-        job.organisation.queue(job)
-        self._queue_organisation(job.organisation)
+    def _enqueue(self, job: QueuedJob) -> None:
+        job.organisation.enqueue(job)
+        self._enqueue_organisation(job.organisation)
 
-    def _queue_organisation(self, organisation: Organisation) -> None:
-        if organisation.queued or not organisation.may_have_ready:
+    def _enqueue_organisation(self, organisation: OrganisationQueue) -> None:
+        if organisation.queued or not organisation.has_queued_jobs:
             return
-        # Like a job, an organisation that was idle goes on from the present time.
-        organisation.time = max(organisation.time, self._time)
+        # As with jobs, an organisation that was idle starts at the current virtual time and gets
+        # no credits for its idle time.
+        organisation.virtual_time = max(organisation.virtual_time, self._virtual_time)
         organisation.queued = True
-        heapq.heappush(self._ready, (organisation.time, organisation.serial, organisation))
+        heapq.heappush(self._ready, (organisation.virtual_time, organisation.serial, organisation))
 
 
 def make_dispatcher(clock: Clock, *, entries: int = 1) -> Dispatcher:
@@ -154,7 +163,7 @@
 
     Args:
         clock: The process's clock.
-        entries: Entries that work on the same jobs.
+        entries: Number of entries that work on the same jobs.
 
     Since 0.1.
     """
--- a/packages/core/src/carobspool_core/_dispatch_jobs.py
+++ b/packages/core/src/carobspool_core/_dispatch_jobs.py
@@ -1,4 +1,4 @@
-"""Jobs and organisations as dispatch keeps them."""
+"""Jobs and organisations in the queues of batch dispatch."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class JobShare:
-    """What dispatch needs to know of a job.
+    """The data of a job that dispatch needs.
 
     Attributes:
         id: The job's id.
-        organisation: Whose it is.
-        weight: The organisation's share.
+        organisation: Organisation that owns the job.
+        weight: Weight of the organisation among all organisations.
         due: Instant at which results are due, by the process's clock.
-        items_left: Items not finished yet, over all entries.
+        items_left: Number of unfinished items, over all entries.
     """
 
     id: str
@@ -27,102 +27,112 @@
     items_left: int
 
 
-class Job:
-    """A job with the items that are ready here.
+class QueuedJob:
+    """A job and the number of its items that are ready at this entry.
 
     Attributes:
-        offered: Items ready to be taken.
-        time: Virtual time within the organisation: items taken, without those of idle times.
-        queued: Whether it stands in its organisation's queue.
-        serial: Order of creation; tells apart a job removed and its successor of the same id.
-        removed: Whether it was removed; it may still stand in a queue.
-        urgent: Whether its due time, or a later one, is in danger.
-        urgent_queued: Whether it stands in the queue of urgent jobs.
+        ready_items: Number of items ready to be dispatched.
+        virtual_time: Virtual time within the organisation. It advances by 1 for each dispatched
+            item and skips the time in which the job had no ready items.
+        queued: Whether the job is in its organisation's queue.
+        serial: Order of creation; distinguishes a removed job from a later job with the same id.
+        removed: Whether the job was removed; a removed job may still be in a queue.
+        urgent: Whether the due time of this job, or of a job due later, is at risk.
+        urgent_queued: Whether the job is in the queue of urgent jobs.
     """
 
     __slots__ = (
         "due",
         "id",
         "items_left",
-        "offered",
         "organisation",
         "queued",
+        "ready_items",
         "removed",
         "serial",
-        "time",
         "urgent",
         "urgent_queued",
+        "virtual_time",
     )
 
-    def __init__(self, share: JobShare, organisation: Organisation, serial: int) -> None:
+    def __init__(self, share: JobShare, organisation: OrganisationQueue, serial: int) -> None:
         self.id = share.id
         self.serial = serial
         self.organisation = organisation
         self.due = share.due
         self.items_left = share.items_left
-        self.offered = 0
-        self.time = 0.0
+        self.ready_items = 0
+        self.virtual_time = 0.0
         self.queued = False
         self.removed = False
         self.urgent = False
         self.urgent_queued = False
 
-    def take(self) -> None:
-        """Take one item."""
-        self.offered -= 1
+    def consume_item(self) -> None:
+        """Count one ready item as dispatched."""
+        self.ready_items -= 1
         self.items_left = max(0, self.items_left - 1)
-        self.time += 1.0
+        self.virtual_time += 1.0
 
 
-class Organisation:
-    """The jobs of an organisation, the one furthest behind first.
+class OrganisationQueue:
+    """The jobs of an organisation in order of virtual time, lowest first.
 
     Attributes:
-        jobs: Number of its jobs.
+        job_count: Number of jobs of the organisation.
         serial: Order of creation.
-        time: Virtual time among the organisations: items taken divided by the weight.
-        queued: Whether it stands in the queue of organisations.
+        virtual_time: Virtual time among the organisations: items dispatched, divided by the weight.
+        queued: Whether this organisation is in the dispatcher's queue of organisations.
     """
 
-    __slots__ = ("_ready", "_turn", "jobs", "name", "queued", "serial", "time", "weight")
+    __slots__ = (
+        "_ready",
+        "_virtual_time",
+        "job_count",
+        "name",
+        "queued",
+        "serial",
+        "virtual_time",
+        "weight",
+    )
 
     def __init__(self, name: str, weight: float, serial: int) -> None:
-        self._ready: list[tuple[float, int, Job]] = []
-        self._turn = 0.0
+        self._ready: list[tuple[float, int, QueuedJob]] = []
+        self._virtual_time = 0.0
         self.name = name
         self.serial = serial
         self.weight = weight
-        self.time = 0.0
+        self.virtual_time = 0.0
         self.queued = False
-        self.jobs = 0
+        self.job_count = 0
 
     @property
-    def may_have_ready(self) -> bool:
-        """Whether jobs are queued; those without items are found out when it is their turn."""
+    def has_queued_jobs(self) -> bool:
+        """Whether jobs are queued; `pop_job` skips those that have no ready items any more."""
         return bool(self._ready)
 
-    def queue(self, job: Job) -> None:
-        """Queue a job that has items ready, unless it is queued."""
-        if job.queued or not job.offered:
+    def enqueue(self, job: QueuedJob) -> None:
+        """Queue a job that has ready items and is not queued yet."""
+        if job.queued or not job.ready_items:
             return
-        # A job that had nothing ready must not catch up for that time: it would shut the others
-        # out until it had.
-        job.time = max(job.time, self._turn)
+        # A job must not be compensated for the time in which it had no ready items: it would
+        # starve the other jobs until it had caught up.
+        job.virtual_time = max(job.virtual_time, self._virtual_time)
         job.queued = True
-        heapq.heappush(self._ready, (job.time, job.serial, job))
+        heapq.heappush(self._ready, (job.virtual_time, job.serial, job))
 
-    def pop(self) -> Job | None:
-        """Remove and return the next job with items ready."""
+    def pop_job(self) -> QueuedJob | None:
+        """Remove and return the next job that has ready items."""
         while self._ready:
-            time, _, job = heapq.heappop(self._ready)
-            if job.removed or not job.offered:
+            virtual_time, _, job = heapq.heappop(self._ready)
+            if job.removed or not job.ready_items:
                 job.queued = False
                 continue
-            if time < job.time:
-                # Items taken as urgent have moved it on since it was queued.
-                heapq.heappush(self._ready, (job.time, job.serial, job))
+            if virtual_time < job.virtual_time:
+                # Items dispatched as urgent have advanced the job since it was queued.
+                heapq.heappush(self._ready, (job.virtual_time, job.serial, job))
                 continue
             job.queued = False
-            self._turn = job.time
+            self._virtual_time = job.virtual_time
             return job
         return None
--- a/packages/core/src/carobspool_core/_due_times.py
+++ b/packages/core/src/carobspool_core/_due_times.py
@@ -1,8 +1,9 @@
-"""Which jobs are in danger of missing their due time.
+"""Finds the jobs that are at risk of missing their due time.
 
-Load pattern: jobs due at the same hour whose share of the credits does not suffice. Judged one by
-one, ten jobs each seem to have time until it is too late for all of them. So all that is due until
-an instant is compared with the time left at half of the present rate.
+Load pattern: several jobs are due at the same hour and their share of the credits is too small.
+Checked one by one, each of ten such jobs seems to have enough time until it is too late for all of
+them. Therefore all items due by an instant are added up and compared with what half of the current
+rate can finish by then.
 """
 
 from __future__ import annotations
@@ -11,90 +12,92 @@
 from collections.abc import Iterable
 
 from carobspool_core._clock import Millis
-from carobspool_core._dispatch_jobs import Job
+from carobspool_core._dispatch_jobs import QueuedJob
 
 URGENT_SHARE = 0.5
-"""Part of the credits that jobs in danger may take: fairness halves at worst, none is starved."""
-REVIEW_INTERVAL: Millis = 5_000.0
-"""Time between looks at all due times: at 18,000 jobs one takes some 10 ms, and the danger that
-arises meanwhile is 5 s of work."""
+"""Part of the credits that urgent jobs may use. The other jobs keep at least the other half of the
+credits, so none is starved."""
+CHECK_INTERVAL: Millis = 5_000.0
+"""Time between two checks of all due times. A check of 18,000 jobs takes about 10 ms, and a risk is
+detected at most 5 s late."""
 MIN_RATE_SPAN: Millis = 1_000.0
-"""Time over which the rate of credits is averaged at least."""
+"""Shortest time over which a sample of the credit rate is taken."""
 RATE_SMOOTHING = 0.05
-"""Half of the weight lies on the last 14 s, a little more than one online burst and its pause."""
+"""Weight of a new sample in the moving average. The last 14 s have half of the weight, which is
+slightly longer than one online burst and the pause after it."""
 
 
-class DueTimes:
-    """The rate of this entry's credits and the jobs that need more of them.
+class DueTimeMonitor:
+    """Measures this entry's credit rate and queues the jobs that need more than their share.
 
     Args:
-        now: The instant of the start.
+        now: Current instant.
 
     Since 0.1.
     """
 
-    __slots__ = ("_pending", "_rate", "_rate_at", "_reviewed_at", "_urgent")
+    __slots__ = ("_checked_at", "_pending", "_rate", "_rate_at", "_urgent")
 
     def __init__(self, now: Millis) -> None:
-        self._urgent: list[tuple[Millis, int, Job]] = []
+        self._urgent: list[tuple[Millis, int, QueuedJob]] = []
         self._rate = 0.0
         self._rate_at = now
         self._pending = 0
-        self._reviewed_at = now
+        self._checked_at = now
 
-    def queue(self, job: Job) -> None:
-        """Queue an urgent job that has items ready, unless it is queued."""
-        if not job.urgent or job.urgent_queued or not job.offered:
+    def enqueue(self, job: QueuedJob) -> None:
+        """Queue an urgent job that has ready items and is not queued yet."""
+        if not job.urgent or job.urgent_queued or not job.ready_items:
             return
         job.urgent_queued = True
         heapq.heappush(self._urgent, (job.due, job.serial, job))
 
-    def next(self, now: Millis) -> Job | None:
-        """Return the urgent job with items ready that is due first."""
+    def next_urgent(self, now: Millis) -> QueuedJob | None:
+        """Return the urgent job that is due first, among those with ready items."""
         while self._urgent:
             due, _, job = self._urgent[0]
-            if job.offered and not job.removed and now < due:
+            if job.ready_items and not job.removed and now < due:
                 return job
             heapq.heappop(self._urgent)
             job.urgent_queued = False
         return None
 
-    def review(self, jobs: Iterable[Job], entries: int, now: Millis) -> None:
-        """Look at all jobs again when it is time to.
+    def refresh(self, jobs: Iterable[QueuedJob], entries: int, now: Millis) -> None:
+        """Find the urgent jobs again, unless the last check is less than an interval ago.
 
-        Urgent are the jobs due no later than the last due time in danger.
+        A job is urgent when its due time is no later than the last due time at risk.
         """
-        if now - self._reviewed_at < REVIEW_INTERVAL:
+        if now - self._checked_at < CHECK_INTERVAL:
             return
-        self._reviewed_at = now
+        self._checked_at = now
         rate = self._rate * entries * URGENT_SHARE
-        ahead = sorted((job for job in jobs if job.due > now), key=_due)
+        not_yet_due = sorted((job for job in jobs if job.due > now), key=_due)
         items = 0
-        in_danger = 0
-        for position, job in enumerate(ahead, start=1):
+        at_risk = 0
+        for position, job in enumerate(not_yet_due, start=1):
             items += job.items_left
             if rate and items > rate * (job.due - now):
-                in_danger = position
+                at_risk = position
         self._urgent = []
-        for position, job in enumerate(ahead):
-            job.urgent = position < in_danger
+        for position, job in enumerate(not_yet_due):
+            job.urgent = position < at_risk
             job.urgent_queued = False
-            self.queue(job)
+            self.enqueue(job)
 
-    def note_taken(self, taken: int, now: Millis, *, limited: bool) -> None:
-        """Note that credits were spent.
+    def record_dispatched(self, items: int, now: Millis, *, credit_limited: bool) -> None:
+        """Update the credit rate after a dispatch.
 
         Args:
-            taken: Items taken.
-            now: The instant.
-            limited: Whether all credits were spent. Otherwise items ran out, and their rate says
-                nothing about that of the credits.
+            items: Number of items dispatched.
+            now: Current instant.
+            credit_limited: Whether all credits were used. Otherwise the ready items ran out, and
+                the rate of dispatched items is no measure of the credit rate.
         """
-        if not limited:
+        if not credit_limited:
             self._pending = 0
             self._rate_at = now
             return
-        self._pending += taken
+        self._pending += items
         span = now - self._rate_at
         if span < MIN_RATE_SPAN:
             return
@@ -104,5 +107,5 @@
         self._rate_at = now
 
 
-def _due(job: Job) -> Millis:
+def _due(job: QueuedJob) -> Millis:
     return job.due
