--- a/packages/core/src/carobspool_core/_chunks.py
+++ b/packages/core/src/carobspool_core/_chunks.py
@@ -1,8 +1,8 @@
-"""States of a chunk of batch items and the changes that are allowed between them.
+"""States of a chunk of batch items and the transitions between them.
 
-A change is a function from the stored state to the new one, or to a refusal. The caller writes the
-new state on the condition that the stored one has not changed, so of two holders only one gets
-through; which items are finished is decided by nothing but these writes.
+A transition is a function that maps the stored state to the new state, or to a refusal. The caller
+writes the new state on the condition that the stored state has not changed, so only one of two
+competing holders succeeds. These conditional writes alone decide which items are finished.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 class ChunkStatus(StrEnum):
-    """Where a chunk stands. A chunk nobody has claimed yet has no stored state."""
+    """Status of a chunk. A chunk that was never claimed has no stored state."""
 
     CLAIMED = "claimed"
     RELEASED = "released"
@@ -37,7 +37,7 @@
 
 
 class ChunkRefusal(StrEnum):
-    """Why a change of a chunk's state is not allowed."""
+    """Why a transition of a chunk's state is refused."""
 
     HELD = "held"
     NOT_HOLDER = "not_holder"
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Holder:
-    """A process that may hold chunks: a node's name and the incarnation of its process."""
+    """A process that can hold chunks: the name of its node and its incarnation."""
 
     node: str
     incarnation: str
@@ -60,11 +60,11 @@
 
     Attributes:
         spans: Indexes of the items within the chunk.
-        completed: How many of them succeeded.
-        failed: How many of them ended as errors.
-        output_bytes: Their size in the job's output file.
-        error_bytes: Their size in the job's error file.
-        payload: The packed results, or ``""`` when they stand in segments.
+        completed: Number of items that succeeded.
+        failed: Number of items that ended as errors.
+        output_bytes: Size of the results in the job's output file.
+        error_bytes: Size of the results in the job's error file.
+        payload: The packed results, or ``""`` when they are stored in segments.
         segments: Keys of the objects that hold the packed results.
     """
 
@@ -82,12 +82,12 @@
     """The stored state of a chunk.
 
     Attributes:
-        holder: Who claimed it last.
-        status: Where it stands.
+        holder: Process that claimed the chunk last.
+        status: Status of the chunk.
         items: Number of items in the chunk.
         intents: Non-idempotent items that the holder may have started.
         abandoned: Non-idempotent items that an earlier holder may have started, without results.
-        parts: Results, one part for each commit; their spans are disjoint.
+        parts: Results, one part for each commit; the spans of the parts are disjoint.
     """
 
     holder: Holder
@@ -102,20 +102,20 @@
 
 
 def chunk_items(shaping: BatchShaping, items: int) -> int:
-    """Return how many items a chunk of a job of ``items`` items holds at most.
+    """Return the largest number of items in a chunk of a job of ``items`` items.
 
-    A chunk costs three to four writes however many items it holds, and the store takes a few
-    hundred writes a second for the whole fleet. Above 64 chunks, growth with the square root of
-    the job keeps both the number of chunks and their size moderate: a job of 560,000 items has 375
-    chunks of 1,497, where the fixed 256 would make 2,188.
+    A chunk costs three to four writes, regardless of its size, and the store handles a few hundred
+    writes a second for the whole fleet. Above 64 chunks, the chunk size grows with the square root
+    of the job size, which limits both the number of chunks and their size: a job of 560,000 items
+    has 375 chunks of 1,497 items, where a fixed size of 256 would make 2,188 chunks.
     """
-    least = max(1, shaping.chunk_items)
-    grown = math.ceil(least * math.sqrt(items / (least * CHUNKS_BEFORE_GROWTH)))
-    return min(max(least, grown), MAX_CHUNK_ITEMS)
+    base_size = max(1, shaping.chunk_items)
+    scaled_size = math.ceil(base_size * math.sqrt(items / (base_size * CHUNKS_BEFORE_GROWTH)))
+    return min(max(base_size, scaled_size), MAX_CHUNK_ITEMS)
 
 
 def chunk_bytes(shaping: BatchShaping, items: int) -> int:
-    """Return how many compressed bytes a chunk of a job of ``items`` items holds at most."""
+    """Return the compressed size limit, in bytes, of a chunk of a job of ``items`` items."""
     factor = chunk_items(shaping, items) / max(1, shaping.chunk_items)
     return int(min(shaping.chunk_bytes * max(1.0, factor), MAX_CHUNK_BYTES))
 
@@ -136,14 +136,15 @@
 def claim_chunk(
     state: ChunkState | None, holder: Holder, *, items: int, holder_is_dead: bool
 ) -> Result[ChunkState, ChunkRefusal]:
-    """Claim a chunk that is free, released, or held by a dead process.
+    """Claim a chunk that is unclaimed, released, or held by a dead process.
 
-    The previous holder may have sent off any non-idempotent item that it had declared. Those
-    without a result become ``abandoned``: they end as unknown and are never run again.
+    The previous holder may have started any non-idempotent item that it had declared. Declared
+    items without a result become ``abandoned``: their outcome is unknown and they are never run
+    again.
 
     Args:
-        state: The stored state, ``None`` if there is none.
-        holder: Who claims.
+        state: The stored state; ``None`` if the chunk was never claimed.
+        holder: The claiming process.
         items: Number of items in the chunk.
         holder_is_dead: Whether the lease of the holder named in ``state`` has expired.
     """
@@ -173,8 +174,8 @@
     """Record that the holder is about to start non-idempotent items."""
     if refusal := _refusal(state, holder):
         return Failure(refusal)
-    taken = unite_spans(finished(state), unite_spans(state.intents, state.abandoned))
-    if spans_overlap(spans, taken):
+    unavailable = unite_spans(finished(state), unite_spans(state.intents, state.abandoned))
+    if spans_overlap(spans, unavailable):
         return Failure(ChunkRefusal.ALREADY_FINISHED)
     return Success(replace(state, intents=unite_spans(state.intents, spans)))
 
@@ -182,7 +183,7 @@
 def withdraw_intents(
     state: ChunkState, holder: Holder, spans: Spans
 ) -> Result[ChunkState, ChunkRefusal]:
-    """Take back the intents of items that the holder knows it never started."""
+    """Remove the intents of items that the holder has certainly not started."""
     if refusal := _refusal(state, holder):
         return Failure(refusal)
     return Success(replace(state, intents=subtract_spans(state.intents, spans)))
@@ -208,20 +209,21 @@
 
 
 def stop_chunk(state: ChunkState, holder: Holder) -> Result[ChunkState, ChunkRefusal]:
-    """End a chunk of a cancelled job; items without a result never get one."""
+    """Mark a chunk of a cancelled job as done; its unfinished items stay without a result."""
     if refusal := _refusal(state, holder):
         return Failure(refusal)
     return Success(replace(state, status=ChunkStatus.DONE))
 
 
 def release_chunk(state: ChunkState, holder: Holder) -> Result[ChunkState, ChunkRefusal]:
-    """Give a claim back, so that another process need not wait for the lease to expire."""
+    """Release a claim, so that another process can claim the chunk before the lease expires."""
     if refusal := _refusal(state, holder):
         return Failure(refusal)
     return Success(replace(state, status=ChunkStatus.RELEASED))
 
 
 def _refusal(state: ChunkState, holder: Holder) -> ChunkRefusal | None:
+    """Return why ``holder`` may not change the chunk; ``None`` if it may."""
     if state.status is ChunkStatus.DONE:
         return ChunkRefusal.DONE
     if state.status is not ChunkStatus.CLAIMED or state.holder != holder:
--- a/packages/core/src/carobspool_core/_job_records.py
+++ b/packages/core/src/carobspool_core/_job_records.py
@@ -1,4 +1,4 @@
-"""JSON values of jobs and chunk states, as they stand in the object store."""
+"""Conversion of jobs and chunk states to and from the JSON values in the object store."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 
 def job_value(job: Job) -> Json:
-    """Return the JSON value of a job."""
+    """Return the JSON value in which a job is stored."""
     return dataclasses.asdict(job)
 
 
 def read_job(value: Json) -> Job:
-    """Return the job that a JSON value holds.
+    """Return the job that is stored in a JSON value.
 
     Raises:
         KeyError: If a field is missing.
-        TypeError: If a field has the wrong shape.
+        TypeError: If a field has the wrong type.
         ValueError: If a status is unknown.
     """
     return Job(
@@ -36,33 +36,33 @@
 
 
 def chunk_value(state: ChunkState) -> Json:
-    """Return the JSON value of a chunk state."""
+    """Return the JSON value in which a chunk state is stored."""
     return dataclasses.asdict(state)
 
 
 def read_chunk(value: Json) -> ChunkState:
-    """Return the chunk state that a JSON value holds.
+    """Return the chunk state that is stored in a JSON value.
 
     Raises:
         KeyError: If a field is missing.
-        TypeError: If a field has the wrong shape.
+        TypeError: If a field has the wrong type.
         ValueError: If a status is unknown.
     """
     return ChunkState(
         holder=Holder(**value["holder"]),
         status=ChunkStatus(value["status"]),
         items=value["items"],
-        intents=_spans(value["intents"]),
-        abandoned=_spans(value["abandoned"]),
-        parts=tuple(_part(part) for part in value["parts"]),
+        intents=_read_spans(value["intents"]),
+        abandoned=_read_spans(value["abandoned"]),
+        parts=tuple(_read_part(part) for part in value["parts"]),
     )
 
 
-def _part(value: Json) -> ResultPart:
+def _read_part(value: Json) -> ResultPart:
     return ResultPart(
-        **{**value, "spans": _spans(value["spans"]), "segments": tuple(value["segments"])}
+        **{**value, "spans": _read_spans(value["spans"]), "segments": tuple(value["segments"])}
     )
 
 
-def _spans(value: Json) -> Spans:
+def _read_spans(value: Json) -> Spans:
     return tuple((start, stop) for start, stop in value)
--- a/packages/core/src/carobspool_core/_jobs.py
+++ b/packages/core/src/carobspool_core/_jobs.py
@@ -1,4 +1,4 @@
-"""Batch jobs: their data, their statuses and the changes that are allowed between them."""
+"""Batch jobs: their data, their statuses and the transitions between them."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class JobRefusal(StrEnum):
-    """Why a change of a job is not allowed."""
+    """Why a transition of a job is refused."""
 
     ENDED = "ended"
     CANCELLING = "cancelling"
@@ -49,15 +49,15 @@
     Attributes:
         job: Id of the job.
         chunk: Number of its chunk.
-        index: Its place within the chunk.
-        custom_id: The caller's name for it, unique in the job.
+        index: Position of the item within the chunk.
+        custom_id: Name that the caller gave the item, unique in the job.
         method: HTTP method.
         path: Path at the upstream, for example ``/v1/chat/completions``.
         body: Request body, JSON in UTF-8.
-        model: Model that the body names.
+        model: Model named in the body.
         organisation: Organisation of the job.
-        caller: Caller who submitted it.
-        idempotent: Whether running it twice is harmless.
+        caller: Caller who submitted the job.
+        idempotent: Whether the item can be run twice without harm.
     """
 
     job: str
@@ -89,20 +89,20 @@
 
     Attributes:
         id: Derived from the organisation and the idempotency key, or from the content.
-        organisation: Owner.
-        caller: Who submitted it.
-        content: Digest of everything that makes the job; equal for equal submissions.
+        organisation: Organisation that owns the job.
+        caller: Caller who submitted the job.
+        content: Digest of everything that defines the job; equal for equal submissions.
         input_file: Id of the uploaded file.
-        input_id: Names the chunk inputs, ``inputs/<input_id>/<n>``.
+        input_id: Part of the keys of the chunk inputs, ``inputs/<input_id>/<n>``.
         endpoint: Path that all items call.
-        metadata: The caller's own pairs.
-        chunk_sizes: Items in each chunk.
-        created_at: Wall-clock time, as all times here.
+        metadata: Key-value pairs supplied by the caller.
+        chunk_sizes: Number of items in each chunk.
+        created_at: When the job was created. All times of a job are wall-clock times.
         due_at: When results are due.
-        status: Where the job stands.
-        counts: Known results; exact once the job has ended.
+        status: Current status.
+        counts: Results counted so far; exact once the job has ended.
         changed_at: When each status was entered.
-        audit: Records of changes that an operator may ask about.
+        audit: Audit records of changes to the job.
     """
 
     id: str
@@ -128,53 +128,54 @@
 
     @property
     def ended(self) -> bool:
-        """Whether the job has reached a status that it never leaves."""
+        """Whether the job has reached a final status."""
         return self.status in ENDED
 
 
 def organisation_digest(organisation: str) -> str:
-    """Return the part of an id that names the organisation, so that listings stay its own."""
+    """Return the digest that identifies the organisation in ids, so that ids can be listed by it."""
     return hashlib.sha256(organisation.encode()).hexdigest()[:ORGANISATION_DIGEST_LENGTH]
 
 
 def keyed_job_id(organisation: str, key: str) -> str:
     """Return the id of the job submitted under an idempotency key.
 
-    A client that resends its submission, to any entry and at the same time, arrives at the same id
-    and so at the same job; creation on the condition that the id is free lets one of them win.
+    A client that resends its submission, to any entry and even concurrently, gets the same id and
+    so the same job: a job is created on the condition that its id is free, so only one of the
+    submissions creates it.
     """
     return _job_id(organisation, "key", key)
 
 
 def content_job_id(organisation: str, content: str, generation: int) -> str:
-    """Return the id of a job submitted without a key.
+    """Return the id of a job submitted without an idempotency key.
 
     Args:
-        organisation: Owner.
+        organisation: Organisation that owns the job.
         content: Digest of the submission.
-        generation: How many ended jobs of equal content came before.
+        generation: Number of earlier jobs with the same content, all of which have ended.
     """
     return _job_id(organisation, "content", f"{content}/{generation}")
 
 
 def cancel_job(job: Job, record: AuditRecord) -> Result[Job, JobRefusal]:
-    """Ask for the end of a job; ``record`` goes into the same write."""
+    """Start the cancellation of a job; ``record`` is stored in the same write."""
     if job.ended:
         return Failure(JobRefusal.ENDED)
     if job.status is JobStatus.CANCELLING:
         return Failure(JobRefusal.CANCELLING)
-    changed = _enter(job, JobStatus.CANCELLING, record.at)
+    changed = _with_status(job, JobStatus.CANCELLING, record.at)
     return Success(replace(changed, audit=(*job.audit, record)))
 
 
 def end_job(
     job: Job, counts: JobCounts, *, chunks_done: int, at: Millis
 ) -> Result[Job, JobRefusal]:
-    """End a job all of whose chunks are done.
+    """End a job; refused while one of its chunks is not done.
 
     Args:
         job: The stored job.
-        counts: Sums over all chunks.
+        counts: Results summed over all chunks.
         chunks_done: Number of chunks known to be done.
         at: Wall-clock time.
     """
@@ -183,32 +184,33 @@
     if chunks_done < len(job.chunk_sizes):
         return Failure(JobRefusal.CHUNKS_OPEN)
     if counts.completed + counts.failed < job.items:
-        return Success(replace(_enter(job, JobStatus.CANCELLED, at), counts=counts))
-    # A cancel that came after the last result has nothing left to stop.
+        return Success(replace(_with_status(job, JobStatus.CANCELLED, at), counts=counts))
+    # The cancellation arrived after the last result: no item is left to stop.
     if job.status is JobStatus.CANCELLING:
-        return Success(replace(_enter(job, JobStatus.CANCELLED, at), counts=counts))
-    finalizing = _enter(job, JobStatus.FINALIZING, at)
-    return Success(replace(_enter(finalizing, JobStatus.COMPLETED, at), counts=counts))
+        return Success(replace(_with_status(job, JobStatus.CANCELLED, at), counts=counts))
+    finalizing = _with_status(job, JobStatus.FINALIZING, at)
+    return Success(replace(_with_status(finalizing, JobStatus.COMPLETED, at), counts=counts))
 
 
 def report_progress(job: Job, counts: JobCounts) -> Result[Job, JobRefusal]:
-    """Record new counts of a job that goes on."""
+    """Record the current counts of a job that has not ended."""
     if job.ended:
         return Failure(JobRefusal.ENDED)
     return Success(replace(job, counts=counts))
 
 
 def progress_is_due(job: Job, counts: JobCounts) -> bool:
-    """Tell whether the counts grew enough to be worth a write.
+    """Return whether the counts have grown enough since the last write to be written again.
 
-    Each write of a job goes to every entry that watches jobs, so progress is told in quarters.
+    Each write of a job is sent to every entry that watches jobs, so progress is written only once
+    for each quarter of the items.
     """
-    grown = counts.completed + counts.failed - job.counts.completed - job.counts.failed
-    return grown * PROGRESS_STEPS >= job.items
+    newly_finished = counts.completed + counts.failed - job.counts.completed - job.counts.failed
+    return newly_finished * PROGRESS_STEPS >= job.items
 
 
 def add_counts(first: JobCounts, second: JobCounts) -> JobCounts:
-    """Return the sums."""
+    """Return the field-wise sum of two counts."""
     return JobCounts(
         completed=first.completed + second.completed,
         failed=first.failed + second.failed,
@@ -217,7 +219,7 @@
     )
 
 
-def _enter(job: Job, status: JobStatus, at: Millis) -> Job:
+def _with_status(job: Job, status: JobStatus, at: Millis) -> Job:
     return replace(job, status=status, changed_at={**job.changed_at, status.value: at})
 
 
--- a/packages/core/src/carobspool_core/_leases.py
+++ b/packages/core/src/carobspool_core/_leases.py
@@ -1,8 +1,9 @@
-"""Observation of node leases: when a process may be taken for dead.
+"""Observation of node leases, to decide when a process is presumed dead.
 
-A holder renews its lease object; an observer sees versions. Clocks of different hosts are never
-compared: a lease has expired when its version stood still for the time to live, by the observer's
-own monotonic clock, counted only while the observer could read the store.
+The holder renews its lease by writing the lease object; an observer sees the object's version.
+Clocks of different hosts are never compared: a lease has expired when its version has not changed
+for the time to live, measured by the observer's own monotonic clock and only while the observer
+could read the store.
 """
 
 from __future__ import annotations
@@ -17,14 +18,15 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class NodeLease:
-    """What an observer knows of one node's lease.
+    """The lease of one node as an observer sees it.
 
     Attributes:
         node: Name of the node.
-        incarnation: The process that holds it.
-        version: Version last seen.
-        leaving: Whether the holder said that it is shutting down.
-        unchanged: Readable time since that version was first seen, in milliseconds.
+        incarnation: The process that holds the lease.
+        version: Latest version seen.
+        leaving: Whether the holder has announced that it is shutting down.
+        unchanged: Time since that version was first seen, in milliseconds, without the time in
+            which the store could not be read.
     """
 
     node: str
@@ -35,13 +37,13 @@
 
 
 class LeaseObserver:
-    """The leases as one observer sees them. Not safe for several threads.
+    """Tracks which leases have expired. Not thread-safe.
 
     Args:
         ttl: Time to live, in milliseconds.
         longest_step: Longest time that one successful read may add, in milliseconds. An observer
-            that was itself paused finds old answers in its buffers; without the limit its first
-            read afterwards would expire every lease at once.
+            that was itself paused reads stale responses from its buffers; without the limit its
+            first read after the pause would expire every lease at once.
     """
 
     def __init__(self, *, ttl: Millis, longest_step: Millis) -> None:
@@ -51,7 +53,7 @@
         self._last_read: Millis | None = None
 
     def seen(self, *, node: str, incarnation: str, version: int, leaving: bool) -> None:
-        """Take in a lease as read or watched; an older version than the known one is ignored."""
+        """Record a lease that was read or watched; versions that are not newer are ignored."""
         known = self._leases.get(node)
         if known is not None and version <= known.version:
             return
@@ -60,11 +62,11 @@
         )
 
     def gone(self, node: str) -> None:
-        """Take in that the lease object was deleted: its holder gave it up."""
+        """Record that the lease object was deleted, which means that its holder released it."""
         self._leases.pop(node, None)
 
     def read_succeeded(self, now: Millis) -> None:
-        """Count the time since the previous successful read."""
+        """Add the time since the previous successful read to the age of every lease."""
         last = self._last_read
         self._last_read = now
         if last is None:
@@ -74,13 +76,14 @@
             self._leases[node] = replace(lease, unchanged=lease.unchanged + step)
 
     def read_failed(self) -> None:
-        """Count nothing until two reads in a row succeed again."""
+        """Stop counting time until two successive reads have succeeded."""
         self._last_read = None
 
     def expired(self, node: str, incarnation: str) -> bool:
-        """Tell whether a process is taken for dead.
+        """Return whether a process is presumed dead.
 
-        A process is also dead when another incarnation holds its node's lease, or nobody does.
+        A process is also presumed dead when another incarnation, or no process, holds its node's
+        lease. This second rule applies only while the store can be read.
         """
         lease = self._leases.get(node)
         if lease is None or lease.incarnation != incarnation:
@@ -88,7 +91,7 @@
         return lease.unchanged >= self._ttl
 
     def live(self) -> tuple[str, ...]:
-        """Return the nodes that take work, in order of name."""
+        """Return the nodes that accept new work, sorted by name."""
         nodes = [
             lease.node
             for lease in self._leases.values()
@@ -97,12 +100,12 @@
         return tuple(sorted(nodes))
 
     def holding(self) -> tuple[str, ...]:
-        """Return the nodes whose leases are in force, those that are leaving included."""
+        """Return the nodes with unexpired leases, including those that are leaving."""
         return tuple(
             sorted(lease.node for lease in self._leases.values() if lease.unchanged < self._ttl)
         )
 
     def longest_expired(self, factor: float) -> tuple[NodeLease, ...]:
-        """Return the leases unchanged for ``factor`` times the time to live."""
+        """Return the leases that have not changed for ``factor`` times the time to live."""
         limit = self._ttl * factor
         return tuple(lease for lease in self._leases.values() if lease.unchanged >= limit)
