--- a/packages/core/src/carobspool_core/_jobs.py
+++ b/packages/core/src/carobspool_core/_jobs.py
@@ -133,7 +133,7 @@
 
 
 def organisation_digest(organisation: str) -> str:
-    """Return the digest that identifies the organisation in ids, so that ids can be listed by it."""
+    """Return the digest that identifies the organisation in ids; ids are listed by this prefix."""
     return hashlib.sha256(organisation.encode()).hexdigest()[:ORGANISATION_DIGEST_LENGTH]
 
 
--- a/packages/core/src/carobspool_core/_model_fleet.py
+++ b/packages/core/src/carobspool_core/_model_fleet.py
@@ -1,4 +1,4 @@
-"""Declared and actual models of a fleet, and counts that the orders of one step share."""
+"""Declared and actual models of a fleet, and the counts shared by the orders of one step."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class LoadOrderKind(StrEnum):
-    """What an upstream is told to do."""
+    """What an order makes an upstream do."""
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True, order=True)
 class ModelVersion:
-    """A model in one version."""
+    """One version of a model."""
 
     model: str
     version: str
@@ -30,12 +30,12 @@
 
     Attributes:
         host: Name of the upstream's host.
-        failure_domain: Where it stands.
-        declared: What should be ready there.
-        ready: What is ready there.
-        loading: What it is loading now.
-        room: Models that fit into its memory at once.
-        reachable: Whether it takes orders now and its ready models serve callers.
+        failure_domain: Failure domain of the host.
+        declared: Models that should be ready.
+        ready: Models that are ready.
+        loading: Models that are being loaded.
+        room: Number of models that fit into its memory at once.
+        reachable: Whether the upstream accepts orders now and its ready models serve callers.
     """
 
     host: str
@@ -49,13 +49,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class WeightStoreLimits:
-    """What the weight store gives.
+    """Limits of the weight store.
 
     Attributes:
-        bytes_per_second: Rate shared by all loads.
-        concurrent: Loads that it serves at once.
-        max_load_time: Time within which a load should end; fewer run at once when sharing the rate
-            would take longer. The default fits the time limit of an order, ten minutes.
+        bytes_per_second: Bandwidth shared by all loads.
+        concurrent: Largest number of loads at once.
+        max_load_time: Time within which a load should finish; fewer loads run at once if they would
+            take longer with shared bandwidth. The default fits the time limit of an order, ten
+            minutes.
     """
 
     bytes_per_second: float
@@ -74,24 +75,33 @@
 
 
 MAX_UNAVAILABLE_SHARE = 0.25
-"""Part of a model's ready upstreams that may be taken away in one step beyond the first: routing
-holds the others at 1.25 times the mean, so a pool planned with that margin carries it."""
+"""Largest part of a model's upstreams that may be unavailable in one step; one upstream is always
+allowed. Routing limits the load of the remaining upstreams to 1.25 times the mean, so a pool with
+that margin can serve it."""
 
 
 Candidate = tuple[UpstreamModels, ModelVersion]
 
 
 class FleetState:
-    """Counts over the fleet that orders of the same step have to share."""
+    """Counts over the fleet, shared by the orders of one step.
 
-    __slots__ = ("declared", "ready", "ready_in", "taken", "upstreams")
+    Attributes:
+        upstreams: The reachable upstreams.
+        declared: Number of upstreams for which each model is declared.
+        ready: Number of upstreams on which each model is ready.
+        ready_by_domain: The same for each pair of model and failure domain.
+        unavailable: Number of upstreams that are losing or about to load each model.
+    """
+
+    __slots__ = ("declared", "ready", "ready_by_domain", "unavailable", "upstreams")
 
     def __init__(self, upstreams: Sequence[UpstreamModels]) -> None:
         self.upstreams = [each for each in upstreams if each.reachable]
         self.declared: dict[str, int] = {}
         self.ready: dict[str, int] = {}
-        self.ready_in: dict[tuple[str, str], int] = {}
-        self.taken: dict[str, int] = {}
+        self.ready_by_domain: dict[tuple[str, str], int] = {}
+        self.unavailable: dict[str, int] = {}
         for each in upstreams:
             for model in {one.model for one in each.declared}:
                 self.declared[model] = self.declared.get(model, 0) + 1
@@ -99,28 +109,30 @@
             for model in {one.model for one in each.ready}:
                 self._count(each, model, 1)
 
-    def is_spare(self, upstream: UpstreamModels, unwanted: ModelVersion) -> bool:
-        """Return whether a ready model serves nobody who could not be served beside it."""
+    def is_redundant(self, upstream: UpstreamModels, unwanted: ModelVersion) -> bool:
+        """Return whether a ready model is not declared or is also ready here in another version."""
         if unwanted.model not in self.declared:
             return True
         return any(one.model == unwanted.model and one != unwanted for one in upstream.ready)
 
-    def may_take(self, model: str) -> bool:
-        """Return whether one more upstream may lose a model now."""
-        left = self.ready.get(model, 0)
-        taken = self.taken.get(model, 0)
-        return left > 1 and taken < max(1, int((left + taken) * MAX_UNAVAILABLE_SHARE))
+    def can_unload(self, model: str) -> bool:
+        """Return whether a model may be unloaded from one more upstream in this step."""
+        ready = self.ready.get(model, 0)
+        unavailable = self.unavailable.get(model, 0)
+        return ready > 1 and unavailable < max(
+            1, int((ready + unavailable) * MAX_UNAVAILABLE_SHARE)
+        )
 
-    def take(self, upstream: UpstreamModels, model: str) -> None:
-        """Count a ready model as gone from an upstream."""
+    def record_unload(self, upstream: UpstreamModels, model: str) -> None:
+        """Count a ready model of an upstream as unavailable."""
         self._count(upstream, model, -1)
-        self.taken[model] = self.taken.get(model, 0) + 1
+        self.unavailable[model] = self.unavailable.get(model, 0) + 1
 
-    def ready_beside(self, upstream: UpstreamModels, model: str) -> int:
-        """Return how many upstreams of the same failure domain have a model ready."""
-        return self.ready_in.get((model, upstream.failure_domain), 0)
+    def ready_in_same_domain(self, upstream: UpstreamModels, model: str) -> int:
+        """Return how many upstreams of the same failure domain have the model ready."""
+        return self.ready_by_domain.get((model, upstream.failure_domain), 0)
 
     def _count(self, upstream: UpstreamModels, model: str, by: int) -> None:
         self.ready[model] = self.ready.get(model, 0) + by
         key = (model, upstream.failure_domain)
-        self.ready_in[key] = self.ready_in.get(key, 0) + by
+        self.ready_by_domain[key] = self.ready_by_domain.get(key, 0) + by
--- a/packages/core/src/carobspool_core/_modelloads.py
+++ b/packages/core/src/carobspool_core/_modelloads.py
@@ -1,12 +1,13 @@
-"""The order in which models are loaded and unloaded.
+"""Decides which models to load and unload next.
 
-Load pattern: one applied change moves many upstreams to another model or version. Carried out at
-once, all of them would be loading together: nobody is left to answer, and the weight store's rate
-is shared so thinly that none is ready for long.
+Load pattern: one configuration change moves many upstreams to another model or version. If all of
+them changed at once, all would be loading together: none would be left to serve requests, and the
+weight store's bandwidth would be divided among so many loads that none would be ready for a long
+time.
 
-`plan_model_loads` gives the orders of the next step alone and is called again with what then runs.
-So it needs no memory, a lost order is given again, and a new declaration takes effect in the
-middle.
+`plan_model_loads` returns only the orders of the next step and is called again with the resulting
+state. It therefore keeps no state, a lost order is issued again, and a new declaration takes effect
+in the middle of a rollout.
 """
 
 from __future__ import annotations
@@ -29,76 +30,77 @@
     weight_bytes: Mapping[str, int],
     limits: WeightStoreLimits,
 ) -> list[LoadOrder]:
-    """Return the orders that may be given now.
+    """Return the orders that can be issued now.
 
-    A model that is still declared somewhere never loses its last ready upstream. When two models
-    could only swap places that way, neither is ordered; `blocked_model_loads` names the upstreams.
+    A model that is still declared for some upstream never loses its last ready upstream. When two
+    models could only be exchanged in that way, no order is issued for either, and
+    `blocked_model_loads` names their upstreams.
 
     Args:
-        upstreams: All engines, declared and actual.
-        weight_bytes: Size of each model's weights; 0 for an unknown one.
-        limits: What the weight store gives.
+        upstreams: Declared and actual models of all engines.
+        weight_bytes: Size of each model's weights; 0 for an unknown model.
+        limits: Limits of the weight store.
 
     Since 0.1.
     """
     state = FleetState(upstreams)
-    orders = _unloads(state)
+    orders = _plan_unloads(state)
     freed = {order.host for order in orders}
-    orders.extend(_loads(state, freed, weight_bytes, limits))
+    orders.extend(_plan_loads(state, freed, weight_bytes, limits))
     return orders
 
 
 def blocked_model_loads(upstreams: Sequence[UpstreamModels]) -> list[str]:
-    """Return hosts that lack a declared model and have no room for it until others move.
+    """Return the hosts that lack a declared model and have no memory for it yet.
 
-    For operators: when nothing is loading and `plan_model_loads` gives no orders, these can't be
-    helped without more room.
+    For operators: when nothing is loading and `plan_model_loads` returns no orders, these hosts
+    stay blocked until more memory is available.
 
     Since 0.1.
     """
     return sorted(each.host for each in upstreams if _missing(each) and not _has_room(each))
 
 
-def _unloads(state: FleetState) -> list[LoadOrder]:
+def _plan_unloads(state: FleetState) -> list[LoadOrder]:
     orders: list[LoadOrder] = []
-    state.taken = _in_transition(state)
+    state.unavailable = _becoming_ready(state)
     groups: dict[tuple[str, str], list[Candidate]] = {}
     for upstream in state.upstreams:
         unwanted = _unwanted(upstream)
         if upstream.loading or not unwanted:
             continue
-        spare = [one for one in unwanted if state.is_spare(upstream, one)]
-        if spare:
-            orders.append(_order(upstream, LoadOrderKind.UNLOAD, spare[0]))
+        removable = [one for one in unwanted if state.is_redundant(upstream, one)]
+        if removable:
+            orders.append(_order(upstream, LoadOrderKind.UNLOAD, removable[0]))
             continue
         key = (unwanted[0].model, upstream.failure_domain)
         groups.setdefault(key, []).append((upstream, unwanted[0]))
-    orders.extend(_take_from_groups(state, groups))
+    orders.extend(_unload_by_failure_domain(state, groups))
     return orders
 
 
-def _take_from_groups(
+def _unload_by_failure_domain(
     state: FleetState, groups: dict[tuple[str, str], list[Candidate]]
 ) -> list[LoadOrder]:
-    """Take models away, each time from the failure domain that has the most of them ready."""
+    """Unload models one by one, each from the failure domain with the most ready upstreams."""
     orders = []
     while groups:
-        key = max(groups, key=lambda each: (state.ready_in.get(each, 0), each))
+        key = max(groups, key=lambda each: (state.ready_by_domain.get(each, 0), each))
         candidates = groups[key]
-        if not candidates or not state.may_take(key[0]):
+        if not candidates or not state.can_unload(key[0]):
             del groups[key]
             continue
         upstream, unwanted = candidates.pop()
-        state.take(upstream, key[0])
+        state.record_unload(upstream, key[0])
         orders.append(_order(upstream, LoadOrderKind.UNLOAD, unwanted))
     return orders
 
 
-def _in_transition(state: FleetState) -> dict[str, int]:
-    """Count by model the upstreams that are about to serve it and don't yet.
+def _becoming_ready(state: FleetState) -> dict[str, int]:
+    """Count for each model the upstreams that lack it and are loading or have memory for it.
 
-    One that has no room is not counted: it waits for others to move, and counting it could keep
-    them from moving.
+    An upstream without memory for another model is not counted: it waits for unloads elsewhere, and
+    counting it could prevent those unloads.
     """
     counts: dict[str, int] = {}
     for each in state.upstreams:
@@ -110,7 +112,7 @@
     return counts
 
 
-def _loads(
+def _plan_loads(
     state: FleetState,
     freed: set[str],
     weight_bytes: Mapping[str, int],
@@ -118,61 +120,67 @@
 ) -> list[LoadOrder]:
     orders: list[LoadOrder] = []
     sizes = [weight_bytes.get(one.model, 0) for each in state.upstreams for one in each.loading]
-    waiting = _load_candidates(state, freed)
-    placed = _being_placed(state)
-    while waiting:
-        upstream, wanted = min(waiting, key=_by_need(state, placed))
-        waiting.remove((upstream, wanted))
+    candidates = _load_candidates(state, freed)
+    loading = _loading_by_domain(state)
+    while candidates:
+        upstream, wanted = min(candidates, key=_load_priority(state, loading))
+        candidates.remove((upstream, wanted))
         size = weight_bytes.get(wanted.model, 0)
-        if not _fits([*sizes, size], limits):
+        if not _within_limits([*sizes, size], limits):
             break
         sizes.append(size)
         key = (wanted.model, upstream.failure_domain)
-        placed[key] = placed.get(key, 0) + 1
+        loading[key] = loading.get(key, 0) + 1
         orders.append(_order(upstream, LoadOrderKind.LOAD, wanted))
-        waiting = [one for one in waiting if one[0] is not upstream]
+        candidates = [one for one in candidates if one[0] is not upstream]
     return orders
 
 
-def _being_placed(state: FleetState) -> dict[tuple[str, str], int]:
-    placed: dict[tuple[str, str], int] = {}
+def _loading_by_domain(state: FleetState) -> dict[tuple[str, str], int]:
+    """Count the running loads of each model in each failure domain."""
+    loading: dict[tuple[str, str], int] = {}
     for each in state.upstreams:
         for one in each.loading:
             key = (one.model, each.failure_domain)
-            placed[key] = placed.get(key, 0) + 1
-    return placed
+            loading[key] = loading.get(key, 0) + 1
+    return loading
 
 
 def _load_candidates(state: FleetState, freed: set[str]) -> list[Candidate]:
     candidates: list[Candidate] = []
     for each in state.upstreams:
-        # Orders of one upstream are serial: the load follows when the unload has been read back.
+        # Orders to one upstream are serial: a load is planned only after the upstream's state shows
+        # that the unload is complete.
         if each.loading or each.host in freed or not _has_room(each):
             continue
         candidates.extend((each, wanted) for wanted in _missing(each))
     return candidates
 
 
-def _by_need(
-    state: FleetState, placed: Mapping[tuple[str, str], int]
+def _load_priority(
+    state: FleetState, loading: Mapping[tuple[str, str], int]
 ) -> Callable[[Candidate], tuple[bool, float, int, str, str, ModelVersion]]:
-    """Order loads: models that nobody serves, then those with the least of their declared share
-    ready, then failure domains with the fewest."""
+    """Return a sort key for loads; the smallest key is loaded first.
+
+    Models that no upstream serves come first, then the models with the smallest ready fraction of
+    their declared upstreams, then the failure domains with the fewest ready or loading upstreams.
+    """
 
     def key(candidate: Candidate) -> tuple[bool, float, int, str, str, ModelVersion]:
         upstream, wanted = candidate
         model = wanted.model
         ready = state.ready.get(model, 0)
-        ready += sum(count for (name, _), count in placed.items() if name == model)
-        share = ready / max(1, state.declared.get(model, 1))
-        beside = state.ready_beside(upstream, model)
-        beside += placed.get((model, upstream.failure_domain), 0)
-        return ready > 0, share, beside, model, upstream.host, wanted
+        ready += sum(count for (name, _), count in loading.items() if name == model)
+        ready_fraction = ready / max(1, state.declared.get(model, 1))
+        in_domain = state.ready_in_same_domain(upstream, model)
+        in_domain += loading.get((model, upstream.failure_domain), 0)
+        return ready > 0, ready_fraction, in_domain, model, upstream.host, wanted
 
     return key
 
 
-def _fits(sizes: list[int], limits: WeightStoreLimits) -> bool:
+def _within_limits(sizes: list[int], limits: WeightStoreLimits) -> bool:
+    """Return whether the weight store can serve loads of these sizes at once; one always can."""
     if len(sizes) == 1:
         return True
     if len(sizes) > limits.concurrent:
@@ -185,12 +193,12 @@
 
 
 def _unwanted(upstream: UpstreamModels) -> list[ModelVersion]:
-    """Return the ready models that may go; an old version stays while there is room for the new."""
+    """Return the ready models to unload; an old version stays while the new one fits beside it."""
     extra = sorted(upstream.ready - upstream.declared)
     if not _has_room(upstream):
         return extra
-    awaited = {one.model for one in _missing(upstream)}
-    return [one for one in extra if one.model not in awaited]
+    missing = {one.model for one in _missing(upstream)}
+    return [one for one in extra if one.model not in missing]
 
 
 def _has_room(upstream: UpstreamModels) -> bool:
--- a/packages/core/src/carobspool_core/_order_epochs.py
+++ b/packages/core/src/carobspool_core/_order_epochs.py
@@ -1,9 +1,10 @@
-"""The right to give orders to an engine: an epoch for each holder, and a lease on it.
+"""The exclusive right to send orders to an engine: an epoch for each holder, and a lease.
 
-Engines that refuse an old fencing number need no more than the epoch. For the others the lease
-keeps two holders apart in time: a holder sends an order only within its lease, which starts before
-the conditional write that confirms it, and a successor's own write ends all later confirmations.
-After the old lease and the longest order have passed, no order sent in time can still be under way.
+For engines that refuse an old fencing token, the epoch is sufficient. For other engines the lease
+ensures that two holders never send orders at the same time. A holder sends orders only within its
+lease, and the lease starts before the conditional write that confirms it. Once a successor has
+written its own record, the previous holder can't confirm its lease any more. When the previous
+lease and the longest order have run out, no order sent within that lease can still be in progress.
 """
 
 from __future__ import annotations
@@ -21,15 +22,15 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EpochRecord:
-    """Who may give orders to an upstream, as it stands in the object store.
+    """The holder of the right to send orders to an upstream, as stored in the object store.
 
     Attributes:
-        epoch: Grows with each holder.
+        epoch: Increases with each holder.
         holder: Node name of the holder.
         incarnation: Random id of the holder's process.
         lease_ttl: How long the holder's lease lasts after a confirmation, in milliseconds.
-        order_timeout: Longest time of one of its orders, in milliseconds.
-        released: Whether the holder gave the right back with no order under way.
+        order_timeout: Longest duration of one of its orders, in milliseconds.
+        released: Whether the holder released the right while none of its orders was in progress.
 
     Since 0.1.
     """
@@ -59,7 +60,7 @@
 
 
 def epoch_to_json(record: EpochRecord) -> Json:
-    """Return an epoch record as it is stored."""
+    """Return the JSON value in which an epoch record is stored."""
     return {
         "epoch": record.epoch,
         "holder": record.holder,
@@ -89,10 +90,10 @@
 
 
 def take_over_wait(previous: EpochRecord | None) -> Millis:
-    """Return how long a new holder waits before orders to an engine that ignores fencing.
+    """Return how long a new holder waits before it sends orders to an engine without fencing.
 
     Args:
-        previous: The record that it replaced; ``None`` if there was none.
+        previous: The record that the new holder replaced; ``None`` if there was none.
 
     Returns:
         Milliseconds from the new holder's own conditional write.
--- a/packages/core/src/carobspool_core/_reconcile.py
+++ b/packages/core/src/carobspool_core/_reconcile.py
@@ -1,8 +1,8 @@
-"""What an engine should run against what it runs, and the next order that brings them together.
+"""Compares the declared state of an engine with its actual state and selects the next order.
 
-Pure logic: the caller reads the engine, sends the order, and reads again. Only one order is chosen
-at a time. An engine may have done half of what it was told, or restarted in between, so a plan made
-ahead would soon be wrong.
+This module does no I/O: the caller reads the engine's state, sends the order and reads the state
+again. Only one order is selected at a time, because an engine may have carried out only part of its
+orders or may have restarted in between, so a plan of several orders would soon be wrong.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class OrderKind(StrEnum):
-    """What an order asks of an engine."""
+    """What an order makes the engine do."""
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Order:
-    """One order to an engine; fields that its kind does not need are ``None``.
+    """One order to an engine; fields that the kind of order does not use are ``None``.
 
     Since 0.1.
     """
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Fence:
-    """A fencing number. A later holder has a higher epoch, a later order a higher sequence.
+    """A fencing token. A later holder has a higher epoch, a later order a higher sequence.
 
     Since 0.1.
     """
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RunningModel:
-    """A model at an engine; not ready while it loads."""
+    """A model that an engine runs; it is not ready while it is loading."""
 
     version: str
     adapters: tuple[str, ...] = ()
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EngineState:
-    """What an engine says that it runs, and the highest fencing number that it saw."""
+    """The models and role that an engine reports, and the highest fencing token it has seen."""
 
     models: Mapping[str, RunningModel] = field(default_factory=dict)
     role: str = ""
@@ -76,8 +76,8 @@
 
     Attributes:
         models: Models by name.
-        role: Role to take.
-        checks_fencing: Whether the engine refuses an old fencing number.
+        role: Role that the engine should have.
+        checks_fencing: Whether the engine refuses an old fencing token.
     """
 
     models: Mapping[str, Model] = field(default_factory=dict)
@@ -86,7 +86,7 @@
 
 
 class OrderFault(StrEnum):
-    """Why an order, or a reading of an engine's state, had no success."""
+    """Why an order, or a read of an engine's state, failed."""
 
     UNREACHABLE = "unreachable"
     OLD_FENCE = "old_fence"
@@ -96,14 +96,15 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class OrderFailure:
-    """A failed order or reading.
+    """A failed order or a failed read of the state.
 
     Attributes:
-        fault: ``UNREACHABLE``: no whole answer, the order may have taken effect. ``OLD_FENCE``: the
-            engine has seen a higher number. ``FORBIDDEN``: it does not accept who gives the order.
-            ``FAILED``: it answered that the order failed.
-        detail: For logs.
-        fence: With ``OLD_FENCE``: the highest number that the engine saw.
+        fault: ``UNREACHABLE``: no complete response arrived; the order may have taken effect.
+            ``OLD_FENCE``: the engine has seen a higher fencing token. ``FORBIDDEN``: the engine
+            does not accept orders from this sender. ``FAILED``: the engine reported that the order
+            failed.
+        detail: Description for logs.
+        fence: With ``OLD_FENCE``: the highest fencing token that the engine has seen.
 
     Since 0.1.
     """
@@ -114,20 +115,21 @@
 
 
 class EngineOrders(Protocol):
-    """The port to an engine's state and orders; adapters never raise for faults of the engine."""
+    """Port to an engine; adapters return the engine's faults as failures and never raise for them."""
 
     def state(self) -> Result[EngineState, OrderFailure]:
-        """Read what the engine runs."""
+        """Read the engine's models, role and highest fencing token."""
 
     def order(self, order: Order, fence: Fence, *, timeout: Millis) -> Result[None, OrderFailure]:
-        """Give one order and wait until it is carried out, ``timeout`` milliseconds at most."""
+        """Send one order and wait at most ``timeout`` milliseconds until it is carried out."""
 
 
 def declared_engine(state: DesiredState, host: str) -> DeclaredEngine | None:
     """Return what the engine of a host should run.
 
     Returns:
-        ``None`` when the host is not declared, or as a plain service: then nothing is ordered.
+        ``None`` when the host is not declared or is declared as a plain service; such a host gets
+        no orders.
 
     Since 0.1.
     """
@@ -139,10 +141,10 @@
 
 
 def next_order(declared: DeclaredEngine, actual: EngineState) -> Order | None:
-    """Return the next order, or ``None`` when nothing is to be ordered now.
+    """Return the next order, or ``None`` when no order is needed now.
 
-    Unloads come first, since they free the memory that a load needs. An engine has no order that
-    removes one adapter, so a model with an undeclared adapter is unloaded and loaded again.
+    Unloads come first, since they free the memory that a load needs. No order removes a single
+    adapter from an engine, so a model with an undeclared adapter is unloaded and loaded again.
 
     Since 0.1.
     """
@@ -155,7 +157,7 @@
 
 
 def differences(declared: DeclaredEngine, actual: EngineState) -> tuple[str, ...]:
-    """Return every difference in words, for operators; empty when the engine runs what it should.
+    """Describe each difference for operators; empty when the engine runs what is declared.
 
     Since 0.1.
     """
