--- a/packages/core/src/carobspool_core/__init__.py
+++ b/packages/core/src/carobspool_core/__init__.py
@@ -1,7 +1,7 @@
 """Data classes, ports and decisions of carobspool: no network, no threads.
 
-What is public stands in ``__init__.pyi``. A name is imported when it is first used: a process that
-starts again after a crash needs few of them, and serves nobody while it imports the rest.
+The public names are listed in ``__init__.pyi``. Each name is imported on first use: a process that
+restarts after a crash needs few of them and can serve no requests while it imports the rest.
 """
 
 import lazy_loader
--- a/packages/core/src/carobspool_core/_audit.py
+++ b/packages/core/src/carobspool_core/_audit.py
@@ -1,6 +1,6 @@
 """Audit records: who changed what, when and why.
 
-A record is stored in the same conditional write as the change that it tells of, so that neither
+A record is stored in the same conditional write as the change that it describes, so that neither
 exists without the other.
 """
 
@@ -33,12 +33,12 @@
 
     Attributes:
         at: When it was accepted, in milliseconds since the Unix epoch.
-        who: Caller id of the operator, or the node that acted by itself.
+        who: Caller id of the operator, or name of the node that made the change automatically.
         kind: What was changed, one of `AuditKind`.
-        subject: Revision number, host, job id or fingerprint.
-        reason: Why, in the words of who did it.
-        before: What stood there before; ``None`` when there was nothing.
-        after: What stands there since; ``None`` when it was removed.
+        subject: What the change applies to: a revision number, host, job id or fingerprint.
+        reason: Reason stated by whoever made the change.
+        before: Previous value; ``None`` when there was none.
+        after: New value; ``None`` when it was removed.
 
     Since 0.1.
     """
@@ -70,7 +70,7 @@
 
 
 def audit_to_json(record: AuditRecord) -> Json:
-    """Return an audit record as it is stored."""
+    """Return the JSON value in which an audit record is stored."""
     return {
         "at": record.at,
         "who": record.who,
--- a/packages/core/src/carobspool_core/_clock.py
+++ b/packages/core/src/carobspool_core/_clock.py
@@ -1,4 +1,4 @@
-"""The project's clock type: milliseconds from an arbitrary origin, never going back."""
+"""Clocks: milliseconds since an arbitrary origin, which never decrease."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     """A monotonic clock read in milliseconds.
 
     Args:
-        read: Returns the current instant in milliseconds. It must never go back.
+        read: Returns the current instant in milliseconds. Its results must never decrease.
 
     Since 0.1.
     """
@@ -29,7 +29,7 @@
 
 
 class ManualClock(Clock):
-    """A clock that moves only when told to, for tests and for replaying decisions.
+    """A clock that advances only by calls of `advance`, for tests and for replaying decisions.
 
     Since 0.1.
     """
@@ -60,10 +60,11 @@
 
 
 def boottime_clock() -> Clock:
-    """Return a clock that goes on while the machine is suspended.
+    """Return a clock that also advances while the host is suspended.
 
-    The monotonic clock stands still then, and a process that wakes after five seconds would take
-    its leases and deadlines for unexpired, although the others have seen them pass.
+    The monotonic clock does not advance during a suspension: a process that resumes after five
+    seconds would treat its leases and deadlines as unexpired, although they have expired for the
+    other processes.
     """
     return Clock(lambda: time.clock_gettime(time.CLOCK_BOOTTIME) * 1000.0)
 
@@ -71,6 +72,6 @@
 def wall_millis() -> int:
     """Return the wall-clock time as milliseconds since the Unix epoch.
 
-    For records that people read (audit trail, ``created_at``), never for decisions.
+    Only for records that people read (audit records, ``created_at``), never for decisions.
     """
     return int(time.time() * 1000.0)
--- a/packages/core/src/carobspool_core/_config.py
+++ b/packages/core/src/carobspool_core/_config.py
@@ -1,7 +1,7 @@
-"""The desired state: what operators declare, as plain data.
+"""The desired state that operators declare, as plain data classes.
 
-The models that validate files at the border stand in ``carobspool_core.schema``; inside the system
-only these classes are used.
+The models that validate configuration files are in ``carobspool_core.schema``; the rest of the
+system uses only these classes.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 
 
 class UpstreamKind(StrEnum):
-    """What stands behind a sidecar."""
+    """Kind of upstream behind a sidecar."""
 
     ENGINE = "engine"
     SERVICE = "service"
 
 
 class CallerRole(StrEnum):
-    """What a key allows."""
+    """What the holder of a key may do."""
 
     CALLER = "caller"
     OPERATOR = "operator"
@@ -29,11 +29,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Limits:
-    """Upper bounds over the whole system; ``None`` means no bound.
+    """Rate and concurrency limits over the whole system; ``None`` means no limit.
 
     Attributes:
-        requests_per_minute: Requests accepted in a minute.
-        tokens_per_minute: Estimated tokens, prompt and answer together, in a minute.
+        requests_per_minute: Requests accepted per minute.
+        tokens_per_minute: Estimated prompt and response tokens per minute.
         concurrent: Requests in progress at once.
     """
 
@@ -53,15 +53,15 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Caller:
-    """One holder of a key.
+    """A client that authenticates with a key.
 
     Attributes:
         id: Name of the caller.
-        organisation: Its organisation's name.
-        key_hashes: SHA-256 (hex) of each valid bearer key; keys themselves are never kept.
-        role: What the key allows.
+        organisation: Name of the caller's organisation.
+        key_hashes: SHA-256 (hex) of each valid bearer key; the keys themselves are never stored.
+        role: What the caller may do.
         weight: Share among callers when an upstream is full.
-        limits: Bounds of this caller.
+        limits: Limits of this caller.
     """
 
     id: str
@@ -85,19 +85,19 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Upstream:
-    """One upstream and the sidecar before it.
+    """An upstream and the sidecar in front of it.
 
     Attributes:
         host: Name of the upstream's host.
-        address: ``ip:port`` on which its sidecar takes connections.
-        failure_domain: Where it stands.
+        address: ``ip:port`` on which the sidecar accepts connections.
+        failure_domain: Failure domain of the host.
         kind: Model engine or plain service.
-        models: Models to be loaded, for an engine.
+        models: Models to load, for an engine.
         service: Name of the service, for a plain service.
-        role: Role that the engine is ordered to take.
-        slots: Requests it runs side by side.
-        checks_fencing: Whether it refuses an order with an old fencing number.
-        checks_orders: Whether it checks who gives it orders.
+        role: Role that the engine should have.
+        slots: Number of requests that the upstream runs at once.
+        checks_fencing: Whether the engine refuses an order with an old fencing token.
+        checks_orders: Whether the engine authenticates the sender of orders.
     """
 
     host: str
@@ -114,7 +114,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Route:
-    """How calls of a plain service below a path prefix are treated."""
+    """How requests to a plain service are handled for the paths below a prefix."""
 
     prefix: str
     methods: tuple[str, ...] = ("GET", "HEAD")
@@ -124,7 +124,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Service:
-    """A plain service; the longest matching route prefix decides."""
+    """A plain service; a request is handled by the route with the longest matching prefix."""
 
     name: str
     routes: tuple[Route, ...] = ()
@@ -132,14 +132,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class BatchShaping:
-    """How batch jobs are cut and run.
+    """How batch jobs are split into chunks and run.
 
     Attributes:
-        chunk_items: Items in a chunk, before adapting to the job's size.
-        chunk_bytes: Compressed bytes in a chunk.
-        max_items: Items in a job.
-        max_attempts: Tries of one item before it ends as an error.
-        due: Time within which results are due, from acceptance.
+        chunk_items: Largest number of items in a chunk; larger jobs have larger chunks.
+        chunk_bytes: Largest compressed size of a chunk; larger jobs have larger chunks.
+        max_items: Largest number of items in a job.
+        max_attempts: Number of attempts at an item before it ends as an error.
+        due: Time from the acceptance of a job until its results are due.
     """
 
     chunk_items: int = 256
@@ -151,13 +151,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class OnlineSlowdown:
-    """How much batch work may slow online requests, against the unloaded baseline.
+    """How much batch work may slow down online requests, relative to the baseline without it.
 
     Attributes:
         first_token: Allowed ratio of the 95th percentile of the time to the first token.
         between_tokens: Allowed ratio of the 95th percentile of the time between tokens.
         between_tokens_allowance: Time between tokens, in milliseconds, that is acceptable whatever
-            the ratio; 0 to go by the ratio alone.
+            the ratio; 0 to apply the ratio alone.
     """
 
     first_token: float = 1.15
@@ -167,10 +167,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DesiredState:
-    """Everything that operators declare, as one unit.
+    """The complete declared configuration, versioned as a whole.
 
     Attributes:
-        revision: Number of the revision, 0 before the first.
+        revision: Number of the revision; 0 before the first one.
     """
 
     revision: int = 0
--- a/packages/core/src/carobspool_core/_ports.py
+++ b/packages/core/src/carobspool_core/_ports.py
@@ -1,6 +1,6 @@
-"""Ports: what the inside of the system needs from the outside, as protocols.
+"""Ports: protocols for the external services that the core depends on.
 
-Adapters live in ``carobspool_node``; tests use small in-memory ones.
+The adapters are in ``carobspool_node``; tests use small in-memory adapters.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
     """One object of the platform's object API.
 
     Attributes:
-        key: Its key, path-like: ``jobs/batch_1f``.
-        version: Revision of its last change; grows over the whole store.
+        key: Path-like key, for example ``jobs/batch_1f``.
+        version: Revision of the object's last change; revisions increase over the whole store.
         value: The JSON value.
 
     Since 0.1.
@@ -45,12 +45,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class WatchBatch:
-    """The events of one long poll and the revision from which to go on.
+    """The events of one long poll and the revision from which the watch continues.
 
     Attributes:
-        revision: From which to go on.
+        revision: Revision from which the next long poll continues.
         changes: The events, in order.
-        unreadable: Events that could not be read and whose objects are not known.
+        unreadable: Number of events that could not be read and whose objects are unknown.
     """
 
     revision: int
@@ -63,10 +63,10 @@
     """One page of a listing, in key order.
 
     Attributes:
-        revision: Of the store, from which a watch can go on.
-        objects: The objects; one whose value cannot be read has ``None``.
+        revision: Revision of the store from which a watch can continue.
+        objects: The objects; the value of an object is ``None`` if it cannot be read.
         more: Whether another page follows.
-        unreadable: Objects that are left out, since not even their names can be read.
+        unreadable: Number of objects left out because not even their names can be read.
     """
 
     revision: int
@@ -76,7 +76,7 @@
 
 
 class StoreFault(StrEnum):
-    """Why an operation on the object store gave no result."""
+    """Why an operation on the object store failed."""
 
     CONFLICT = "conflict"
     NOT_FOUND = "not_found"
@@ -92,14 +92,15 @@
     """A failed operation on the object store.
 
     Attributes:
-        fault: ``CONFLICT``: the condition did not hold, nothing was written. ``UNAVAILABLE``:
-            nothing was written. ``UNKNOWN``: the write may have taken effect and reading back
-            could not settle it. ``TOO_LARGE``: over the store's value limit. ``COMPACTED``: the
-            watch asked for a revision no longer held; list again. ``UNREADABLE``: there is an
-            object, and it is not what its kind asks for.
-        key: The key concerned.
-        detail: For logs.
-        current: With ``CONFLICT``: the object as it stands, when known.
+        fault: ``CONFLICT``: the condition did not hold, and nothing was written. ``UNAVAILABLE``:
+            nothing was written. ``UNKNOWN``: the write may have taken effect, and reading the
+            object back could not determine whether it did. ``TOO_LARGE``: the value exceeds the
+            store's limit. ``COMPACTED``: the store no longer holds the revision from which the
+            watch should start; list again. ``UNREADABLE``: the object exists, but its content is
+            not valid for its kind.
+        key: Key of the object, or prefix of the listing or watch.
+        detail: Description for logs.
+        current: With ``CONFLICT``: the current object, if known.
 
     Since 0.1.
     """
@@ -113,10 +114,9 @@
 class ObjectStore(Protocol):
     """The platform's object API.
 
-    Each write is conditional. An adapter settles answers lost after the effect itself: it stores
-    a unique write id beside the value and reads back, so ``UNKNOWN`` remains only when reading
-    back fails too. All methods are safe to call from several threads and never raise for faults
-    of the store.
+    Each write is conditional. An adapter resolves lost responses to writes itself: it stores a
+    unique write id with the value and reads the object back, so it returns ``UNKNOWN`` only when
+    reading back fails too. All methods are thread-safe and never raise for faults of the store.
     """
 
     def get(self, key: str) -> Result[StoredObject, StoreFailure]:
@@ -125,18 +125,18 @@
     def list(
         self, prefix: str, *, after: str = "", limit: int = 500
     ) -> Result[ObjectPage, StoreFailure]:
-        """Read a page of the objects whose keys start with ``prefix``, keys above ``after``."""
+        """Read a page of the objects whose keys start with ``prefix`` and sort after ``after``."""
 
     def create(self, key: str, value: Json) -> Result[StoredObject, StoreFailure]:
-        """Write an object that must not exist yet."""
+        """Create an object; fails with ``CONFLICT`` if it exists."""
 
     def update(self, key: str, value: Json, *, version: int) -> Result[StoredObject, StoreFailure]:
-        """Replace an object whose version must be ``version``."""
+        """Replace an object; fails with ``CONFLICT`` if its version is not ``version``."""
 
     def delete(self, key: str, *, version: int) -> Result[None, StoreFailure]:
-        """Remove an object whose version must be ``version``."""
+        """Delete an object; fails with ``CONFLICT`` if its version is not ``version``."""
 
     def watch(
         self, prefix: str, *, revision: int, timeout: Millis
     ) -> Result[WatchBatch, StoreFailure]:
-        """Wait for changes under ``prefix`` after ``revision``; an empty batch on timeout."""
+        """Wait for changes under ``prefix`` after ``revision``; returns no changes on timeout."""
--- a/packages/core/src/carobspool_core/_reconcile.py
+++ b/packages/core/src/carobspool_core/_reconcile.py
@@ -115,7 +115,7 @@
 
 
 class EngineOrders(Protocol):
-    """Port to an engine; adapters return the engine's faults as failures and never raise for them."""
+    """Port to an engine; adapters return the engine's faults as failures instead of raising."""
 
     def state(self) -> Result[EngineState, OrderFailure]:
         """Read the engine's models, role and highest fencing token."""
--- a/packages/core/src/carobspool_core/_replay.py
+++ b/packages/core/src/carobspool_core/_replay.py
@@ -1,15 +1,16 @@
-"""What online requests would have seen without any batch work, by replaying them.
-
-Load pattern: batch work is always there, so an upstream is hardly ever seen without it. A baseline
-taken from mixed traffic would contain the harm that it is meant to judge; one from quiet moments
-would be out of date when the online load changes. Taking batch's part out of each step is not
-enough either: slower steps gather more online prompts, which wait for one another, so in a burst
-the harm is about twice what the steps show.
-
-So the arrivals of the online requests are run again, through a model of the upstream with the step
-costs learnt from the real one and no batch work. The replay stays behind the present, so that the
-lengths of most answers are known when it comes to them. Batch work cannot reach this baseline but
-through the step costs, and those are fitted with batch streams and prompts as inputs of their own.
+"""Estimates the latency of online requests without batch work, by simulating their arrivals.
+
+Load pattern: batch work is almost always present, so an upstream is hardly ever observed without
+it. A baseline measured on mixed traffic would contain the slowdown that it is meant to detect, and
+a baseline measured while batch work is absent would be out of date when the online load changes.
+Subtracting batch work's share of each step is not enough either: during slower steps more online
+prompts accumulate and delay one another, so in a burst the slowdown is about twice what the steps
+show.
+
+Therefore the arrivals of the online requests are replayed through a model of the upstream, without
+batch work and with step costs fitted to the real upstream. The replay lags behind real time, so
+that the lengths of most responses are known when it reaches them. Batch work affects this baseline
+only through the step costs, and their fit has batch streams and prompts as separate inputs.
 """
 
 from __future__ import annotations
@@ -22,15 +23,16 @@
 from carobspool_core._stepmodel import StepCosts
 
 LAG: Millis = 2_000.0
-"""How far the replay stays behind: longer than the first tokens that it is compared with. An answer
-not finished by then goes on in the replay, which adds one stream's cost to its steps."""
+"""How far the replay lags behind real time: longer than the times to first token compared with it.
+A response that has not ended by then continues in the replay and adds the cost of one stream to its
+steps."""
 
-_MOST_HELD = 4096
-"""Requests held at once, in case a pause of the sidecar piles them up."""
+_MAX_REQUESTS = 4096
+"""Limit on the requests in the replay: they accumulate while the sidecar is paused."""
 
 
 @dataclass(slots=True, kw_only=True)
-class _Replayed:
+class _ReplayedRequest:
     arrived: Millis
     prompt_tokens: int
     tokens: int = 0
@@ -42,9 +44,9 @@
     """One step of the replay.
 
     Attributes:
-        length: Its length.
-        tokens: Streams that got a token other than their first.
-        first: Requests that got their first token, with their time to it.
+        length: Duration of the step.
+        tokens: Number of streams that got a token other than their first.
+        first: Requests that got their first token, each with its time to first token.
     """
 
     length: Millis
@@ -53,30 +55,34 @@
 
 
 class Replay:
-    """Online requests alone at an upstream with given step costs."""
+    """Simulates an upstream that runs only the online requests.
+
+    Args:
+        slots: Number of requests that the upstream runs at once.
+    """
 
     def __init__(self, slots: int) -> None:
         self._slots = slots
         self._now: Millis = 0.0
         self._arrivals: deque[RequestId] = deque()
-        self._requests: OrderedDict[RequestId, _Replayed] = OrderedDict()
+        self._requests: OrderedDict[RequestId, _ReplayedRequest] = OrderedDict()
         self._decoding: list[RequestId] = []
 
     def arrived(self, id: RequestId, prompt_tokens: int, now: Millis) -> None:
-        """Note the arrival of an online request."""
-        if len(self._requests) >= _MOST_HELD:
+        """Record the arrival of an online request."""
+        if len(self._requests) >= _MAX_REQUESTS:
             return
-        self._requests[id] = _Replayed(arrived=now, prompt_tokens=prompt_tokens)
+        self._requests[id] = _ReplayedRequest(arrived=now, prompt_tokens=prompt_tokens)
         self._arrivals.append(id)
 
     def ended(self, id: RequestId, tokens: int) -> None:
-        """Note that the real request ended with so many tokens."""
+        """Record that the real request ended after ``tokens`` tokens."""
         request = self._requests.get(id)
         if request is not None:
             request.length = tokens
 
     def advance(self, now: Millis, costs: StepCosts) -> list[ReplayedStep]:
-        """Run all steps that end before ``now`` less the lag."""
+        """Simulate steps until the replay reaches ``now`` minus the lag, and return them."""
         steps: list[ReplayedStep] = []
         until = now - LAG
         while self._now < until:
@@ -86,6 +92,7 @@
         return steps
 
     def _skip_idle(self, until: Millis) -> bool:
+        """Advance to the next arrival, at most to ``until``; return whether it was reached."""
         if not self._arrivals:
             self._now = until
             return False
@@ -101,10 +108,11 @@
         self._now += max(1.0, length)
         first = tuple((id, self._now - self._requests[id].arrived) for id in prompts)
         self._decoding += prompts
-        self._emit()
+        self._emit_tokens()
         return ReplayedStep(length=length, tokens=decoding, first=first)
 
     def _admit(self) -> list[RequestId]:
+        """Remove and return the arrived requests that get a free slot."""
         prompts: list[RequestId] = []
         while self._arrivals and len(self._decoding) + len(prompts) < self._slots:
             if self._requests[self._arrivals[0]].arrived > self._now:
@@ -112,13 +120,14 @@
             prompts.append(self._arrivals.popleft())
         return prompts
 
-    def _emit(self) -> None:
-        staying: list[RequestId] = []
+    def _emit_tokens(self) -> None:
+        """Add a token to each stream and remove the streams that are complete."""
+        remaining: list[RequestId] = []
         for id in self._decoding:
             request = self._requests[id]
             request.tokens += 1
             if request.length is not None and request.tokens >= request.length:
                 del self._requests[id]
                 continue
-            staying.append(id)
-        self._decoding = staying
+            remaining.append(id)
+        self._decoding = remaining
--- a/packages/core/src/carobspool_core/_streams.py
+++ b/packages/core/src/carobspool_core/_streams.py
@@ -1,4 +1,4 @@
-"""The requests that one upstream runs at present, as its sidecar knows them."""
+"""The requests that one upstream is running, as tracked by its sidecar."""
 
 from __future__ import annotations
 
@@ -12,18 +12,19 @@
 
 @dataclass(slots=True, kw_only=True)
 class Stream:
-    """A request at the upstream.
+    """A request that the upstream is running.
 
     Attributes:
-        work: What was offered.
-        offered: When it was offered.
-        started: When it was sent to the upstream.
-        prefill_tokens: Prompt tokens to compute before its first token; 0 once that has come, or
-            when it was resumed with its KV cache kept.
-        tokens: Answer tokens that it holds.
-        last_token: When its latest token came; ``None`` before the first since it was started.
-        preempting: Whether its cancellation was ordered and has not been reported yet.
-        preemptions: How often it was preempted before.
+        work: The request, as submitted to admission.
+        offered: When the request was submitted to admission.
+        started: When the request was sent to the upstream.
+        prefill_tokens: Prompt tokens to compute before the first token; 0 once the first token has
+            arrived, or when the request was resumed with its KV cache.
+        tokens: Number of response tokens generated so far.
+        last_token: When the latest token arrived; ``None`` before the first token since the start.
+        preempting: Whether the request is being cancelled and the upstream has not reported the
+            end yet.
+        preemptions: Number of earlier preemptions.
     """
 
     work: Work
@@ -37,20 +38,27 @@
 
     @property
     def is_online(self) -> bool:
-        """Whether it is an online request."""
+        """Whether this is an online request."""
         return self.work.priority is Priority.ONLINE
 
     @property
     def is_prefilling(self) -> bool:
-        """Whether its prompt is still being computed."""
+        """Whether the prompt is still being computed."""
         return self.prefill_tokens > 0
 
 
 class Streams:
-    """The streams at one upstream, with the counts that decisions need.
+    """The streams at one upstream, with the counts that admission decisions use.
 
-    A stream whose cancellation was ordered keeps its place here until that is reported, but counts
-    neither as running nor as prefilling.
+    A stream that is being cancelled stays in this collection until its end is reported, but is
+    counted neither as running nor as prefilling.
+
+    Attributes:
+        online: Number of running online streams.
+        batch: Number of running batch streams.
+        online_prefill: Prompt tokens that running online streams still have to compute.
+        batch_prefill: Prompt tokens that running batch streams still have to compute.
+        suspects: Number of streams of suspect requests, including those being cancelled.
     """
 
     def __init__(self) -> None:
@@ -68,17 +76,17 @@
         return iter(self._streams.values())
 
     def get(self, id: RequestId) -> Stream | None:
-        """Return the stream of a request, or ``None``."""
+        """Return the stream of a request, or ``None`` if there is none."""
         return self._streams.get(id)
 
     def add(self, stream: Stream) -> None:
-        """Count a stream that is sent to the upstream."""
+        """Add a stream whose request is sent to the upstream."""
         self._streams[stream.work.id] = stream
         self._count(stream, 1)
         self.suspects += int(stream.work.suspect)
 
     def remove(self, id: RequestId) -> Stream | None:
-        """Forget a stream that ended; ``None`` if it is not here."""
+        """Remove and return the stream of a request; ``None`` if there is none."""
         stream = self._streams.pop(id, None)
         if stream is None:
             return None
@@ -88,13 +96,13 @@
         return stream
 
     def end_prefill(self, stream: Stream) -> None:
-        """Note that the prompt of ``stream`` is computed."""
+        """Record that the prompt of ``stream`` has been computed."""
         if not stream.preempting:
             self._count_prefill(stream, -1)
         stream.prefill_tokens = 0
 
     def begin_preemption(self, stream: Stream) -> None:
-        """Note that the cancellation of ``stream`` was ordered."""
+        """Record that the cancellation of ``stream`` was requested."""
         self._count(stream, -1)
         stream.preempting = True
 
