--- a/packages/core/tests/test_chunks.py
+++ b/packages/core/tests/test_chunks.py
@@ -1,4 +1,4 @@
-"""Tests of chunk states under every interleaving of holders that hypothesis finds."""
+"""Tests of chunk states under interleavings of holders that hypothesis generates."""
 
 from __future__ import annotations
 
@@ -38,12 +38,12 @@
 
 
 class RacingHolders(RuleBasedStateMachine):
-    """Three holders change one stored chunk; each may act on an old read of it.
+    """Three holders change one stored chunk; each may act on a stale read of it.
 
-    A caller must see each item end once, and a non-idempotent item started at most once. A holder
-    reads the state, is paused for as long as the machine likes, and then writes on the condition
-    that the version is still the one it read. Starting an item needs a stored intent; all the
-    protection there is lies in that condition and in the refusals.
+    Each item must end only once, and a non-idempotent item must be started at most once. A holder
+    reads the state, may be paused for any number of steps, and then writes on the condition that
+    the version is still the one that it read. Starting an item requires a stored intent. Only this
+    condition and the refusals protect the items.
     """
 
     def __init__(self) -> None:
@@ -55,7 +55,7 @@
         self.results: list[int] = []
 
     @initialize()
-    def all_read(self) -> None:
+    def read_by_all(self) -> None:
         for holder in HOLDERS:
             self.reads[holder.node] = (0, None)
 
@@ -116,8 +116,8 @@
 TestRacingHolders = RacingHolders.TestCase
 
 
-def test_successor_leaves_intents_alone() -> None:
-    """What a dead holder may have started is abandoned: not free to start, yet open for an end."""
+def test_new_holder_abandons_intents_without_results() -> None:
+    """Items that a dead holder may have started can't be started again but can get a result."""
     first, second, _ = HOLDERS
     state = claim_chunk(None, first, items=ITEMS, holder_is_dead=False).unwrap()
     state = declare_intents(state, first, ((0, 3),)).unwrap()
@@ -134,8 +134,8 @@
     assert claim_chunk(state, first, items=ITEMS, holder_is_dead=True) == Failure(ChunkRefusal.DONE)
 
 
-def test_chunks_grow_with_the_job() -> None:
-    """The number of chunks of the largest job stays in the hundreds; small jobs keep 256."""
+def test_chunk_size_grows_with_the_job() -> None:
+    """The largest job has only hundreds of chunks; small jobs have chunks of 256 items."""
     shaping = BatchShaping()
     assert chunk_items(shaping, 20) == 256
     assert chunk_items(shaping, 2_000) == 256
--- a/packages/core/tests/test_dispatch.py
+++ b/packages/core/tests/test_dispatch.py
@@ -1,4 +1,4 @@
-"""Dispatch: which job gets the next credit."""
+"""Tests of batch dispatch: which job gets the next credit."""
 
 from __future__ import annotations
 
@@ -10,16 +10,18 @@
 
 from carobspool_core import Dispatcher, JobShare, ManualClock, make_dispatcher
 
-FAR = 1e12
+FAR_DUE_TIME = 1e12
 
 
-def job(id: str, organisation: str, items: int, weight: float = 1.0, due: float = FAR) -> JobShare:
-    """Return a job's share."""
+def job(
+    id: str, organisation: str, items: int, weight: float = 1.0, due: float = FAR_DUE_TIME
+) -> JobShare:
+    """Return the scheduling data of a job."""
     return JobShare(id=id, organisation=organisation, weight=weight, due=due, items_left=items)
 
 
 def dispatcher_of(*jobs: JobShare) -> Dispatcher:
-    """Return a dispatcher with all items of the jobs ready."""
+    """Return a dispatcher in which all items of the jobs are ready."""
     dispatcher = make_dispatcher(ManualClock())
     for each in jobs:
         dispatcher.add_job(each)
@@ -27,17 +29,20 @@
     return dispatcher
 
 
-def test_a_job_of_twenty_is_done_beside_one_of_560_000() -> None:
-    """The small job of another organisation gets each second credit, one of the same likewise."""
+def test_small_job_gets_an_equal_share_beside_a_large_job() -> None:
+    """A job of 20 items gets every second credit beside a job of 560,000 items.
+
+    This holds for jobs of one organisation and for jobs of two organisations.
+    """
     for organisation in ("other", "large"):
         large = job("a-large", "large", 560_000)
         dispatcher = dispatcher_of(large, job("b-small", organisation, 20))
-        taken = dispatcher.take(41, 0.0)
-        assert Counter(taken)["b-small"] == 20
+        dispatched = dispatcher.take(41, 0.0)
+        assert Counter(dispatched)["b-small"] == 20
 
 
 def test_credits_follow_the_weights_of_organisations_not_their_number_of_jobs() -> None:
-    """An organisation with 50 jobs and weight 1 gets a third beside one job of weight 2."""
+    """An organisation with 50 jobs and weight 1 gets a third of the credits beside weight 2."""
     many = [job(f"many-{n}", "many", 10_000) for n in range(50)]
     dispatcher = dispatcher_of(*many, job("one", "one", 10_000, weight=2.0))
     counts = Counter(dispatcher.take(3_000, 0.0))
@@ -46,7 +51,7 @@
 
 
 def test_an_organisation_that_was_idle_does_not_catch_up() -> None:
-    """One that comes back after 10,000 credits shares from then on; it does not take all."""
+    """An organisation idle for 10,000 credits gets its share from then on, and no more."""
     dispatcher = dispatcher_of(job("a", "a", 50_000), job("b", "b", 1))
     dispatcher.take(10_000, 0.0)
     dispatcher.offer("b", 1_000)
@@ -54,8 +59,8 @@
     assert 95 <= Counter(dispatcher.take(200, 0.0))["b"] <= 105
 
 
-def test_a_new_job_of_a_busy_organisation_does_not_shut_out_the_old() -> None:
-    """A job that joins an organisation takes turns with the job that has run for long."""
+def test_new_job_does_not_starve_an_older_job_of_its_organisation() -> None:
+    """A new job and a long-running job of the same organisation get equal shares."""
     dispatcher = dispatcher_of(job("old", "a", 50_000))
     dispatcher.take(10_000, 0.0)
     dispatcher.add_job(job("new", "a", 1_000))
@@ -63,14 +68,18 @@
     assert 95 <= Counter(dispatcher.take(200, 0.0))["new"] <= 105
 
 
-def finished_at(due: float, *, boost: bool = True) -> dict[str, float]:
-    """Run three jobs at 100 credits a second; return when each ended, in milliseconds."""
+def end_times(due: float, *, has_due_time: bool = True) -> dict[str, float]:
+    """Run four jobs at 100 credits a second until job ``due`` ends.
+
+    Returns:
+        When each job that ended did so, in milliseconds.
+    """
     clock = ManualClock()
     dispatcher = make_dispatcher(clock)
     left = {"due": 2_000, "x": 20_000, "y": 20_000, "z": 20_000}
     for name, items in left.items():
-        date = due if name == "due" and boost else FAR
-        dispatcher.add_job(job(name, name, items, due=date))
+        due_at = due if name == "due" and has_due_time else FAR_DUE_TIME
+        dispatcher.add_job(job(name, name, items, due=due_at))
         dispatcher.offer(name, items)
     ended = {}
     while "due" not in ended:
@@ -82,28 +91,28 @@
     return ended
 
 
-def test_a_job_about_to_miss_its_due_time_is_boosted_in_time() -> None:
-    """2,000 items at a quarter of 100 credits a second take 80 s; due in 50 s they are in time."""
-    assert finished_at(50_000.0, boost=False)["due"] > 75_000.0
-    assert finished_at(50_000.0)["due"] <= 50_000.0
+def test_job_at_risk_of_missing_its_due_time_is_prioritised() -> None:
+    """2,000 items at a quarter of 100 credits a second take 80 s, but end in time if due in 50 s."""
+    assert end_times(50_000.0, has_due_time=False)["due"] > 75_000.0
+    assert end_times(50_000.0)["due"] <= 50_000.0
 
 
 @pytest.mark.parametrize("at_once", [1, 10])
 def test_urgent_jobs_take_at_most_half_of_the_credits(at_once: int) -> None:
-    """With ten hopelessly urgent jobs the job of another organisation still gets its turns."""
+    """Ten urgent jobs that can't meet their due time do not starve another organisation's job."""
     clock = ManualClock()
     dispatcher = make_dispatcher(clock)
     for n in range(10):
-        dispatcher.add_job(job(f"urgent-{n}", "hasty", 1_000_000, due=100_000.0))
+        dispatcher.add_job(job(f"urgent-{n}", "urgent", 1_000_000, due=100_000.0))
         dispatcher.offer(f"urgent-{n}", 1_000_000)
-    dispatcher.add_job(job("calm", "calm", 10_000))
-    dispatcher.offer("calm", 10_000)
+    dispatcher.add_job(job("other", "other", 10_000))
+    dispatcher.offer("other", 10_000)
     counts: Counter[str] = Counter()
     for _ in range(300):
         clock.advance(100.0)
         for _ in range(10 // at_once):
             counts.update(dispatcher.take(at_once, clock.now()))
-    assert counts["calm"] >= 0.24 * counts.total()
+    assert counts["other"] >= 0.24 * counts.total()
 
 
 @settings(max_examples=100, deadline=None)
@@ -117,10 +126,10 @@
         max_size=60,
     )
 )
-def test_only_what_was_offered_is_taken_and_none_is_forgotten(
+def test_dispatch_uses_exactly_the_items_that_are_ready(
     steps: list[tuple[str, int, int]],
 ) -> None:
-    """Whatever comes and goes, a taken item was offered before, and no ready item is left out."""
+    """After any sequence of changes, only ready items are dispatched and none is left out."""
     clock = ManualClock()
     dispatcher = make_dispatcher(clock)
     ready: Counter[str] = Counter()
@@ -140,15 +149,15 @@
         elif action == "wait":
             clock.advance(100.0 * count)
         else:
-            taken = dispatcher.take(count, clock.now())
-            assert len(taken) == min(count, ready.total())
-            ready.subtract(taken)
+            dispatched = dispatcher.take(count, clock.now())
+            assert len(dispatched) == min(count, ready.total())
+            ready.subtract(dispatched)
             assert min(ready.values(), default=0) >= 0
     assert Counter(dispatcher.take(10_000, clock.now())) == +ready
 
 
-def test_a_job_that_is_removed_and_added_again_is_a_new_one() -> None:
-    """Ids that come back while their old places still stand in the queues are told apart."""
+def test_job_with_a_reused_id_is_distinct_from_the_removed_job() -> None:
+    """A job added under the id of a removed job is not confused with its stale queue entries."""
     clock = ManualClock()
     dispatcher = make_dispatcher(clock)
     for _ in range(3):
--- a/packages/core/tests/test_jobs.py
+++ b/packages/core/tests/test_jobs.py
@@ -1,4 +1,4 @@
-"""Tests of jobs."""
+"""Tests of batch jobs: ids, status transitions and progress."""
 
 from __future__ import annotations
 
@@ -37,8 +37,8 @@
 )
 
 
-def test_ids_follow_from_organisation_and_key() -> None:
-    """Equal submissions give equal ids; another organisation, key or generation gives another."""
+def test_ids_are_derived_from_organisation_and_key() -> None:
+    """Equal submissions have equal ids; another organisation, key or generation has another id."""
     assert keyed_job_id("press", "k") == JOB.id
     others = {keyed_job_id("tabosa", "k"), keyed_job_id("press", "l")}
     others |= {content_job_id("press", "k", 0), content_job_id("press", "k", 1)}
@@ -46,7 +46,7 @@
 
 
 def test_job_ends_when_all_chunks_are_done() -> None:
-    """A job completes with all results, and keeps going while a chunk is open."""
+    """A job completes when all results are there, and can't end while a chunk is open."""
     counts = JobCounts(completed=5, failed=1)
     assert end_job(JOB, counts, chunks_done=1, at=9.0) == Failure(JobRefusal.CHUNKS_OPEN)
     ended = end_job(JOB, counts, chunks_done=2, at=9.0).unwrap()
@@ -57,7 +57,7 @@
 
 
 def test_cancel_is_recorded_once() -> None:
-    """A cancel stands in the job with its record, ends as cancelled, and does not repeat."""
+    """A cancellation is stored with its audit record, can't be repeated, and ends as cancelled."""
     cancelling = cancel_job(JOB, RECORD).unwrap()
     assert cancelling.status is JobStatus.CANCELLING
     assert cancelling.audit == (RECORD,)
@@ -68,7 +68,7 @@
     assert cancel_job(ended, RECORD) == Failure(JobRefusal.ENDED)
 
 
-def test_progress_is_told_in_quarters() -> None:
-    """A count is worth a write once a quarter of the items ended since the last one."""
+def test_progress_is_written_once_per_quarter() -> None:
+    """Counts are written when a quarter of the items has ended since the last write."""
     assert not progress_is_due(JOB, JobCounts(completed=1))
     assert progress_is_due(JOB, JobCounts(completed=1, failed=1))
--- a/packages/core/tests/test_leases.py
+++ b/packages/core/tests/test_leases.py
@@ -17,8 +17,8 @@
         observer.read_succeeded(float(now))
 
 
-def test_lease_expires_when_its_version_stands_still() -> None:
-    """A version unchanged for the time to live is an expired lease; a renewal starts anew."""
+def test_lease_expires_when_its_version_does_not_change() -> None:
+    """A lease expires when its version is unchanged for the time to live; a renewal resets this."""
     observer = _observer()
     _read_until(observer, 1_000, 9_000)
     assert observer.live() == ("a",)
@@ -30,11 +30,11 @@
     assert observer.live() == ()
 
 
-def test_outage_expires_nobody() -> None:
-    """In an outage holders cannot renew.
+def test_store_outage_expires_no_lease() -> None:
+    """Time without responses from the store is not counted, since holders can't renew either.
 
-    Ten seconds without an answer from the store, then the first answer: without care the observer
-    would take every other process for dead and all chunks would change hands.
+    If it were counted, then after an outage of ten seconds or more the first response would make
+    the observer presume every other process dead, and all chunks would be claimed by others.
     """
     observer = _observer()
     observer.read_succeeded(1_000.0)
@@ -43,14 +43,14 @@
     assert not observer.expired("a", "a1")
 
 
-def test_paused_observer_expires_nobody() -> None:
-    """An observer paused for a minute finds an old answer and adds one step for it, no more."""
+def test_paused_observer_expires_no_lease() -> None:
+    """The first read after a pause of a minute, possibly stale, adds at most one longest step."""
     observer = _observer()
     observer.read_succeeded(60_000.0)
     assert not observer.expired("a", "a1")
 
 
-def test_other_incarnation_is_dead() -> None:
+def test_previous_incarnation_is_presumed_dead() -> None:
     """A restarted process has a new incarnation; claims of the old one are free at once."""
     observer = _observer()
     observer.seen(node="a", incarnation="a2", version=6, leaving=False)
@@ -60,8 +60,8 @@
     assert not observer.expired("a", "a2")
 
 
-def test_leaving_node_takes_no_new_work() -> None:
-    """A node that shuts down keeps its claims and gets no more."""
+def test_leaving_node_gets_no_new_work() -> None:
+    """A node that is shutting down keeps its claims and gets no new work."""
     observer = _observer()
     observer.seen(node="a", incarnation="a1", version=7, leaving=True)
     assert observer.live() == ()
--- a/packages/core/tests/test_reconcile.py
+++ b/packages/core/tests/test_reconcile.py
@@ -1,4 +1,4 @@
-"""Tests of the choice of orders to an engine."""
+"""Tests of the selection of orders to an engine."""
 
 from __future__ import annotations
 
@@ -31,10 +31,10 @@
 adapters = st.lists(st.sampled_from(["a", "b", "c"]), unique=True).map(tuple)
 names = st.sampled_from(["m", "n", "o"])
 running = st.builds(RunningModel, version=versions, adapters=adapters, ready=st.booleans())
-engines = st.builds(
+engine_states = st.builds(
     EngineState, models=st.dictionaries(names, running), role=st.sampled_from(["serve", "off"])
 )
-wanted = st.builds(
+declared_engines = st.builds(
     DeclaredEngine,
     models=st.dictionaries(
         names, st.builds(Model, name=names, version=versions, adapters=adapters)
@@ -43,8 +43,8 @@
 )
 
 
-def obey(state: EngineState, order: Order) -> EngineState:
-    """Return the state of an engine that has carried out an order."""
+def apply_order(state: EngineState, order: Order) -> EngineState:
+    """Return the state of an engine after it has carried out an order."""
     models = dict(state.models)
     name = order.model or ""
     if order.kind is OrderKind.ROLE:
@@ -55,43 +55,45 @@
         kept = models[name].adapters if name in models else ()
         models[name] = RunningModel(version=order.version or "", adapters=kept)
     if order.kind is OrderKind.ADAPTER:
-        more = (*models[name].adapters, order.adapter or "")
-        models[name] = replace(models[name], adapters=more)
+        extended = (*models[name].adapters, order.adapter or "")
+        models[name] = replace(models[name], adapters=extended)
     return replace(state, models=models)
 
 
-@given(wanted, engines)
-def test_orders_lead_to_what_is_declared(declared: DeclaredEngine, state: EngineState) -> None:
-    """From any state an obedient engine runs what is declared after a bounded number of orders."""
+@given(declared_engines, engine_states)
+def test_orders_converge_to_the_declared_state(
+    declared: DeclaredEngine, state: EngineState
+) -> None:
+    """From any state, an engine reaches the declared state after a bounded number of orders."""
     models = {name: replace(model, ready=True) for name, model in state.models.items()}
     state = replace(state, models=models)
     for _ in range(20):
         order = next_order(declared, state)
         if order is None:
             break
-        state = obey(state, order)
+        state = apply_order(state, order)
     assert differences(declared, state) == ()
 
 
-@given(wanted, engines)
-def test_an_order_is_given_only_for_a_difference(
+@given(declared_engines, engine_states)
+def test_an_order_is_selected_only_for_a_difference(
     declared: DeclaredEngine, state: EngineState
 ) -> None:
-    """An engine that runs what is declared is left alone."""
+    """An engine that runs what is declared gets no order."""
     if not differences(declared, state):
         assert next_order(declared, state) is None
 
 
-def test_a_model_that_loads_is_waited_for() -> None:
-    """No second load is ordered while the right version loads."""
+def test_no_second_order_while_a_model_loads() -> None:
+    """No order is selected while the declared version is loading."""
     declared = DeclaredEngine(models={"m": Model(name="m", version="2", adapters=("a",))})
     state = EngineState(models={"m": RunningModel(version="2", ready=False)}, role="serve")
     assert next_order(declared, state) is None
     assert "m: loading 2" in differences(declared, state)
 
 
-def test_only_declared_engines_are_ordered() -> None:
-    """A host that is not declared, or is a plain service, gets no orders."""
+def test_only_declared_engines_get_orders() -> None:
+    """A host that is not declared, or is declared as a plain service, gets no orders."""
     service = Upstream(
         host="s", address="127.0.0.1:1", failure_domain="d", kind=UpstreamKind.SERVICE
     )
@@ -107,8 +109,8 @@
 
 
 @pytest.mark.parametrize(("released", "wait"), [(True, 0.0), (False, 75.0)])
-def test_a_successor_waits_out_lease_and_longest_order(released: bool, wait: float) -> None:
-    """Only a right that was given back can be taken over at once."""
+def test_new_holder_waits_for_the_lease_and_the_longest_order(released: bool, wait: float) -> None:
+    """A new holder sends orders at once only if the previous holder released its right."""
     record = EpochRecord(
         epoch=4, holder="a", incarnation="i", lease_ttl=15.0, order_timeout=60.0, released=released
     )
