--- a/packages/core/src/carobspool_core/_due_times.py
+++ b/packages/core/src/carobspool_core/_due_times.py
@@ -18,8 +18,8 @@
 """Part of the credits that urgent jobs may use. The other jobs keep at least the other half of the
 credits, so none is starved."""
 CHECK_INTERVAL: Millis = 5_000.0
-"""Time between two checks of all due times. A check of 18,000 jobs takes about 10 ms, and a risk is
-detected at most 5 s late."""
+"""Time between two checks of all due times. A check of 18,000 jobs takes about 10 ms, and a new
+risk is detected after at most 5 s of work."""
 MIN_RATE_SPAN: Millis = 1_000.0
 """Shortest time over which a sample of the credit rate is taken."""
 RATE_SMOOTHING = 0.05
--- a/packages/core/src/carobspool_core/_jobs.py
+++ b/packages/core/src/carobspool_core/_jobs.py
@@ -31,7 +31,9 @@
     EXPIRED = "expired"
 
 
-ENDED = frozenset({JobStatus.COMPLETED, JobStatus.CANCELLED, JobStatus.FAILED, JobStatus.EXPIRED})
+FINAL_STATUSES = frozenset(
+    {JobStatus.COMPLETED, JobStatus.CANCELLED, JobStatus.FAILED, JobStatus.EXPIRED}
+)
 
 
 class JobRefusal(StrEnum):
@@ -129,7 +131,7 @@
     @property
     def ended(self) -> bool:
         """Whether the job has reached a final status."""
-        return self.status in ENDED
+        return self.status in FINAL_STATUSES
 
 
 def organisation_digest(organisation: str) -> str:
--- a/packages/core/src/carobspool_core/_leases.py
+++ b/packages/core/src/carobspool_core/_leases.py
@@ -25,7 +25,7 @@
         incarnation: The process that holds the lease.
         version: Latest version seen.
         leaving: Whether the holder has announced that it is shutting down.
-        unchanged: Time since that version was first seen, in milliseconds, without the time in
+        unchanged_time: Time since that version was first seen, in milliseconds, without the time in
             which the store could not be read.
     """
 
@@ -33,7 +33,7 @@
     incarnation: str
     version: int
     leaving: bool = False
-    unchanged: Millis = 0.0
+    unchanged_time: Millis = 0.0
 
 
 class LeaseObserver:
@@ -66,14 +66,14 @@
         self._leases.pop(node, None)
 
     def read_succeeded(self, now: Millis) -> None:
-        """Add the time since the previous successful read to the age of every lease."""
+        """Add the time since the previous successful read, up to the limit, to each lease."""
         last = self._last_read
         self._last_read = now
         if last is None:
             return
         step = min(now - last, self._longest_step)
         for node, lease in self._leases.items():
-            self._leases[node] = replace(lease, unchanged=lease.unchanged + step)
+            self._leases[node] = replace(lease, unchanged_time=lease.unchanged_time + step)
 
     def read_failed(self) -> None:
         """Stop counting time until two successive reads have succeeded."""
@@ -88,24 +88,26 @@
         lease = self._leases.get(node)
         if lease is None or lease.incarnation != incarnation:
             return self._last_read is not None
-        return lease.unchanged >= self._ttl
+        return lease.unchanged_time >= self._ttl
 
     def live(self) -> tuple[str, ...]:
         """Return the nodes that accept new work, sorted by name."""
         nodes = [
             lease.node
             for lease in self._leases.values()
-            if lease.unchanged < self._ttl and not lease.leaving
+            if lease.unchanged_time < self._ttl and not lease.leaving
         ]
         return tuple(sorted(nodes))
 
     def holding(self) -> tuple[str, ...]:
         """Return the nodes with unexpired leases, including those that are leaving."""
         return tuple(
-            sorted(lease.node for lease in self._leases.values() if lease.unchanged < self._ttl)
+            sorted(
+                lease.node for lease in self._leases.values() if lease.unchanged_time < self._ttl
+            )
         )
 
     def longest_expired(self, factor: float) -> tuple[NodeLease, ...]:
         """Return the leases that have not changed for ``factor`` times the time to live."""
         limit = self._ttl * factor
-        return tuple(lease for lease in self._leases.values() if lease.unchanged >= limit)
+        return tuple(lease for lease in self._leases.values() if lease.unchanged_time >= limit)
--- a/packages/core/src/carobspool_core/_model_fleet.py
+++ b/packages/core/src/carobspool_core/_model_fleet.py
@@ -88,32 +88,39 @@
 
     Attributes:
         upstreams: The reachable upstreams.
-        declared: Number of upstreams for which each model is declared.
-        ready: Number of upstreams on which each model is ready.
-        ready_by_domain: The same for each pair of model and failure domain.
-        unavailable: Number of upstreams that are losing or about to load each model.
+        declared: Number of upstreams for which each model is declared, unreachable ones included.
+        ready: Number of reachable upstreams on which each model is ready.
+        ready_by_domain: The counts in ``ready`` for each pair of model and failure domain.
+        unavailable: Number of reachable upstreams that unload each model in this step or do not
+            have it ready yet.
     """
 
     __slots__ = ("declared", "ready", "ready_by_domain", "unavailable", "upstreams")
 
     def __init__(self, upstreams: Sequence[UpstreamModels]) -> None:
-        self.upstreams = [each for each in upstreams if each.reachable]
+        self.upstreams = [upstream for upstream in upstreams if upstream.reachable]
         self.declared: dict[str, int] = {}
         self.ready: dict[str, int] = {}
         self.ready_by_domain: dict[tuple[str, str], int] = {}
         self.unavailable: dict[str, int] = {}
-        for each in upstreams:
-            for model in {one.model for one in each.declared}:
+        for upstream in upstreams:
+            for model in {version.model for version in upstream.declared}:
                 self.declared[model] = self.declared.get(model, 0) + 1
-        for each in self.upstreams:
-            for model in {one.model for one in each.ready}:
-                self._count(each, model, 1)
+        for upstream in self.upstreams:
+            for model in {version.model for version in upstream.ready}:
+                self._count(upstream, model, 1)
 
     def is_redundant(self, upstream: UpstreamModels, unwanted: ModelVersion) -> bool:
-        """Return whether a ready model is not declared or is also ready here in another version."""
+        """Return whether a ready model can be unloaded without reducing what is served.
+
+        That is the case when the model is declared for no upstream, or when another version of it
+        is ready on the same upstream.
+        """
         if unwanted.model not in self.declared:
             return True
-        return any(one.model == unwanted.model and one != unwanted for one in upstream.ready)
+        return any(
+            version.model == unwanted.model and version != unwanted for version in upstream.ready
+        )
 
     def can_unload(self, model: str) -> bool:
         """Return whether a model may be unloaded from one more upstream in this step."""
--- a/packages/core/src/carobspool_core/_modelloads.py
+++ b/packages/core/src/carobspool_core/_modelloads.py
@@ -58,7 +58,9 @@
 
     Since 0.1.
     """
-    return sorted(each.host for each in upstreams if _missing(each) and not _has_room(each))
+    return sorted(
+        upstream.host for upstream in upstreams if _missing(upstream) and not _has_room(upstream)
+    )
 
 
 def _plan_unloads(state: FleetState) -> list[LoadOrder]:
@@ -69,7 +71,7 @@
         unwanted = _unwanted(upstream)
         if upstream.loading or not unwanted:
             continue
-        removable = [one for one in unwanted if state.is_redundant(upstream, one)]
+        removable = [version for version in unwanted if state.is_redundant(upstream, version)]
         if removable:
             orders.append(_order(upstream, LoadOrderKind.UNLOAD, removable[0]))
             continue
@@ -85,7 +87,7 @@
     """Unload models one by one, each from the failure domain with the most ready upstreams."""
     orders = []
     while groups:
-        key = max(groups, key=lambda each: (state.ready_by_domain.get(each, 0), each))
+        key = max(groups, key=lambda group: (state.ready_by_domain.get(group, 0), group))
         candidates = groups[key]
         if not candidates or not state.can_unload(key[0]):
             del groups[key]
@@ -103,11 +105,11 @@
     counting it could prevent those unloads.
     """
     counts: dict[str, int] = {}
-    for each in state.upstreams:
-        if not each.loading and not _has_room(each):
+    for upstream in state.upstreams:
+        if not upstream.loading and not _has_room(upstream):
             continue
-        ready = {one.model for one in each.ready}
-        for model in {one.model for one in each.declared} - ready:
+        ready = {version.model for version in upstream.ready}
+        for model in {version.model for version in upstream.declared} - ready:
             counts[model] = counts.get(model, 0) + 1
     return counts
 
@@ -119,7 +121,11 @@
     limits: WeightStoreLimits,
 ) -> list[LoadOrder]:
     orders: list[LoadOrder] = []
-    sizes = [weight_bytes.get(one.model, 0) for each in state.upstreams for one in each.loading]
+    sizes = [
+        weight_bytes.get(version.model, 0)
+        for upstream in state.upstreams
+        for version in upstream.loading
+    ]
     candidates = _load_candidates(state, freed)
     loading = _loading_by_domain(state)
     while candidates:
@@ -132,28 +138,28 @@
         key = (wanted.model, upstream.failure_domain)
         loading[key] = loading.get(key, 0) + 1
         orders.append(_order(upstream, LoadOrderKind.LOAD, wanted))
-        candidates = [one for one in candidates if one[0] is not upstream]
+        candidates = [candidate for candidate in candidates if candidate[0] is not upstream]
     return orders
 
 
 def _loading_by_domain(state: FleetState) -> dict[tuple[str, str], int]:
     """Count the running loads of each model in each failure domain."""
     loading: dict[tuple[str, str], int] = {}
-    for each in state.upstreams:
-        for one in each.loading:
-            key = (one.model, each.failure_domain)
+    for upstream in state.upstreams:
+        for version in upstream.loading:
+            key = (version.model, upstream.failure_domain)
             loading[key] = loading.get(key, 0) + 1
     return loading
 
 
 def _load_candidates(state: FleetState, freed: set[str]) -> list[Candidate]:
     candidates: list[Candidate] = []
-    for each in state.upstreams:
+    for upstream in state.upstreams:
         # Orders to one upstream are serial: a load is planned only after the upstream's state shows
         # that the unload is complete.
-        if each.loading or each.host in freed or not _has_room(each):
+        if upstream.loading or upstream.host in freed or not _has_room(upstream):
             continue
-        candidates.extend((each, wanted) for wanted in _missing(each))
+        candidates.extend((upstream, wanted) for wanted in _missing(upstream))
     return candidates
 
 
@@ -180,7 +186,7 @@
 
 
 def _within_limits(sizes: list[int], limits: WeightStoreLimits) -> bool:
-    """Return whether the weight store can serve loads of these sizes at once; one always can."""
+    """Return whether the weight store can serve these loads at once; a single load always fits."""
     if len(sizes) == 1:
         return True
     if len(sizes) > limits.concurrent:
@@ -197,13 +203,13 @@
     extra = sorted(upstream.ready - upstream.declared)
     if not _has_room(upstream):
         return extra
-    missing = {one.model for one in _missing(upstream)}
-    return [one for one in extra if one.model not in missing]
+    missing = {version.model for version in _missing(upstream)}
+    return [version for version in extra if version.model not in missing]
 
 
 def _has_room(upstream: UpstreamModels) -> bool:
     return len(upstream.ready) + len(upstream.loading) < upstream.room
 
 
-def _order(upstream: UpstreamModels, kind: LoadOrderKind, which: ModelVersion) -> LoadOrder:
-    return LoadOrder(host=upstream.host, kind=kind, model=which.model, version=which.version)
+def _order(upstream: UpstreamModels, kind: LoadOrderKind, version: ModelVersion) -> LoadOrder:
+    return LoadOrder(host=upstream.host, kind=kind, model=version.model, version=version.version)
--- a/packages/core/src/carobspool_core/_replay.py
+++ b/packages/core/src/carobspool_core/_replay.py
@@ -22,7 +22,7 @@
 from carobspool_core._messages import RequestId
 from carobspool_core._stepmodel import StepCosts
 
-LAG: Millis = 2_000.0
+REPLAY_LAG: Millis = 2_000.0
 """How far the replay lags behind real time: longer than the times to first token compared with it.
 A response that has not ended by then continues in the replay and adds the cost of one stream to its
 steps."""
@@ -84,7 +84,7 @@
     def advance(self, now: Millis, costs: StepCosts) -> list[ReplayedStep]:
         """Simulate steps until the replay reaches ``now`` minus the lag, and return them."""
         steps: list[ReplayedStep] = []
-        until = now - LAG
+        until = now - REPLAY_LAG
         while self._now < until:
             if not self._decoding and not self._skip_idle(until):
                 break
--- a/packages/core/tests/test_dispatch.py
+++ b/packages/core/tests/test_dispatch.py
@@ -92,7 +92,10 @@
 
 
 def test_job_at_risk_of_missing_its_due_time_is_prioritised() -> None:
-    """2,000 items at a quarter of 100 credits a second take 80 s, but end in time if due in 50 s."""
+    """A job that would be late with its fair share finishes in time.
+
+    2,000 items at a quarter of 100 credits a second take 80 s; the job is due in 50 s.
+    """
     assert end_times(50_000.0, has_due_time=False)["due"] > 75_000.0
     assert end_times(50_000.0)["due"] <= 50_000.0
 
