--- a/packages/core/src/carobspool_core/border.py
+++ b/packages/core/src/carobspool_core/border.py
@@ -1,7 +1,7 @@
-"""Reading of declared files: JSON with comments, and validation that tells every problem at once.
+"""Read files of JSON with comments and validate them, reporting every problem at once.
 
-Used by the desired state and by the settings of processes. Each of them turns a `Problem` into an
-error of its own. What direct entries read is checked by the same rules, with
+The desired state and the settings of processes use this module; each converts a `Problem` to its
+own error type. Values that direct entries read are validated under the same rules by
 `carobspool_core.records`.
 """
 
@@ -34,9 +34,9 @@
 
 
 class BorderModel(BaseModel):
-    """Base of the models that validate what comes from outside.
+    """Base of the models that validate external input.
 
-    Values are not coerced, unknown keys are refused.
+    Values are not coerced; unknown keys, NaN and infinities are refused.
     """
 
     model_config = ConfigDict(strict=True, extra="forbid", frozen=True, allow_inf_nan=False)
@@ -48,18 +48,21 @@
 def validate(
     model: type[AnyModel], value: Json, *, file: str = ""
 ) -> Result[AnyModel, tuple[Problem, ...]]:
-    """Check a JSON value against a model.
+    """Validate a JSON value against a model.
 
     Args:
         model: The model.
-        value: What was read.
-        file: Name that the problems show.
+        value: The JSON value.
+        file: File name that the problems show.
+
+    Returns:
+        An instance of the model, or every problem that was found.
 
     Since 0.1.
     """
 
-    def known_keys(place: Sequence[str | int]) -> Sequence[str]:
-        owner = _model_at(model, place)
+    def known_keys(location: Sequence[str | int]) -> Sequence[str]:
+        owner = _model_at_path(model, location)
         return sorted(owner.model_fields) if owner is not None else ()
 
     try:
@@ -69,23 +72,23 @@
         return Failure(tuple(describe_problem(dict(each), file, known_keys) for each in details))
 
 
-def _model_at(model: type[BaseModel], place: Sequence[str | int]) -> type[BaseModel] | None:
+def _model_at_path(model: type[BaseModel], location: Sequence[str | int]) -> type[BaseModel] | None:
     owner: type[BaseModel] | None = model
-    for part in place:
+    for part in location:
         if isinstance(part, int) or owner is None:
             continue
         field = owner.model_fields.get(part)
-        owner = _model_in(field.annotation) if field else None
+        owner = _model_in_annotation(field.annotation) if field else None
     return owner
 
 
-def _model_in(annotation: Any) -> type[BaseModel] | None:
+def _model_in_annotation(annotation: Any) -> type[BaseModel] | None:
     if isinstance(annotation, type) and issubclass(annotation, BaseModel):
         return annotation
     if get_origin(annotation) not in (list, dict, Union, types.UnionType):
         return None
     for argument in get_args(annotation):
-        found = _model_in(argument)
+        found = _model_in_annotation(argument)
         if found:
             return found
     return None
--- a/packages/core/src/carobspool_core/errors.py
+++ b/packages/core/src/carobspool_core/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the core."""
+"""Base class of the errors of ``carobspool_core``."""
 
 from __future__ import annotations
 
