--- a/packages/core/src/carobspool_core/schema/__init__.py
+++ b/packages/core/src/carobspool_core/schema/__init__.py
@@ -1,4 +1,4 @@
-"""The desired state at the border: validation of operators' files, and conversion to JSON."""
+"""Validate the files in which operators declare the desired state, and convert it to JSON."""
 
 from carobspool_core.schema._convert import dump_state, entry_to_json
 from carobspool_core.schema._folder import ConfigError, check_state, load_folder, parse_state
--- a/packages/core/src/carobspool_core/schema/_convert.py
+++ b/packages/core/src/carobspool_core/schema/_convert.py
@@ -1,4 +1,4 @@
-"""Conversion between the validated models, the inner data classes and JSON."""
+"""Convert the validated models to the data classes of the desired state, and those to JSON."""
 
 from __future__ import annotations
 
@@ -33,49 +33,54 @@
     UpstreamModel,
 )
 
-_UNBOUNDED = Limits()
-_NO_BOUNDS = (None, None, None)
+_NO_LIMITS = Limits()
+_ALL_UNSET = (None, None, None)
 
 
-def to_state(parts: Sequence[StateModel], *, revision: int = 0) -> DesiredState:
-    """Return the data classes of a state that was validated in parts."""
-    batches = [to_batch(each.batch) for each in parts if each.batch is not None]
+def to_state(files: Sequence[StateModel], *, revision: int = 0) -> DesiredState:
+    """Return the desired state that validated files declare together.
+
+    Args:
+        files: The files, or pieces of them; each may hold a few of the sections.
+        revision: Revision number of the result.
+    """
+    batches = [to_batch(each.batch) for each in files if each.batch is not None]
     slowdowns = [
-        to_slowdown(each.online_slowdown) for each in parts if each.online_slowdown is not None
+        to_slowdown(each.online_slowdown) for each in files if each.online_slowdown is not None
     ]
     return DesiredState(
         revision=revision,
         organisations={
-            item.name: to_organisation(item) for each in parts for item in each.organisations
+            item.name: to_organisation(item) for each in files for item in each.organisations
         },
-        callers={item.id: to_caller(item) for each in parts for item in each.callers},
-        models={item.name: to_model(item) for each in parts for item in each.models},
-        upstreams={item.host: to_upstream(item) for each in parts for item in each.upstreams},
-        services={item.name: to_service(item) for each in parts for item in each.services},
+        callers={item.id: to_caller(item) for each in files for item in each.callers},
+        models={item.name: to_model(item) for each in files for item in each.models},
+        upstreams={item.host: to_upstream(item) for each in files for item in each.upstreams},
+        services={item.name: to_service(item) for each in files for item in each.services},
         batch=batches[0] if batches else BatchShaping(),
         online_slowdown=slowdowns[0] if slowdowns else OnlineSlowdown(),
     )
 
 
 def to_organisation(model: OrganisationModel) -> Organisation:
-    """Return an organisation's data class."""
-    return Organisation(name=model.name, weight=model.weight, limits=_limits(model.limits))
+    """Convert a validated organisation."""
+    return Organisation(name=model.name, weight=model.weight, limits=_to_limits(model.limits))
 
 
 def to_caller(model: CallerModel) -> Caller:
-    """Return a caller's data class."""
+    """Convert a validated caller."""
     return Caller(
         id=model.id,
         organisation=model.organisation,
         key_hashes=tuple(model.key_hashes),
         role=CallerRole(model.role),
         weight=model.weight,
-        limits=_limits(model.limits),
+        limits=_to_limits(model.limits),
     )
 
 
 def to_model(model: ModelModel) -> Model:
-    """Return a model's data class."""
+    """Convert a validated model declaration."""
     return Model(
         name=model.name,
         version=model.version,
@@ -86,7 +91,7 @@
 
 
 def to_upstream(model: UpstreamModel) -> Upstream:
-    """Return an upstream's data class."""
+    """Convert a validated upstream."""
     return Upstream(
         host=model.host,
         address=model.address,
@@ -102,12 +107,12 @@
 
 
 def to_service(model: ServiceModel) -> Service:
-    """Return a service's data class."""
-    return Service(name=model.name, routes=tuple(_route(route) for route in model.routes))
+    """Convert a validated service."""
+    return Service(name=model.name, routes=tuple(_to_route(route) for route in model.routes))
 
 
 def to_batch(model: BatchModel) -> BatchShaping:
-    """Return the data class of batch shaping."""
+    """Convert the validated section ``batch``."""
     return BatchShaping(
         chunk_items=model.chunk_items,
         chunk_bytes=model.chunk_bytes,
@@ -118,7 +123,7 @@
 
 
 def to_slowdown(model: OnlineSlowdownModel) -> OnlineSlowdown:
-    """Return the data class of the online slowdown."""
+    """Convert the validated section ``online_slowdown``."""
     return OnlineSlowdown(
         first_token=model.first_token,
         between_tokens=model.between_tokens,
@@ -127,12 +132,15 @@
 
 
 def entry_to_json(entry: Any) -> Json:
-    """Return one entry of the desired state as operators would write it, every field present."""
-    return _WRITERS[type(entry)](entry)
+    """Return one entry of the desired state as JSON in the form of operators' files.
+
+    Every field is present, except limits that are not set.
+    """
+    return _JSON_CONVERTERS[type(entry)](entry)
 
 
 def dump_state(state: DesiredState) -> Json:
-    """Return the whole state as JSON that `parse_state` takes, in a fixed order.
+    """Return the whole state as JSON that `parse_state` accepts, in a fixed order.
 
     The revision number is not part of it.
 
@@ -153,10 +161,12 @@
     return [entry_to_json(entries[name]) for name in sorted(entries)]
 
 
-def _limits(model: LimitsModel) -> Limits:
+def _to_limits(model: LimitsModel) -> Limits:
     bounds = (model.requests_per_minute, model.tokens_per_minute, model.concurrent)
-    if bounds == _NO_BOUNDS:
-        return _UNBOUNDED  # Shared: most of many thousand callers have no bounds of their own.
+    if bounds == _ALL_UNSET:
+        return (
+            _NO_LIMITS  # One shared instance, since most of many thousand callers have no limits.
+        )
     return Limits(
         requests_per_minute=model.requests_per_minute,
         tokens_per_minute=model.tokens_per_minute,
@@ -164,7 +174,7 @@
     )
 
 
-def _route(model: RouteModel) -> Route:
+def _to_route(model: RouteModel) -> Route:
     return Route(
         prefix=model.prefix,
         methods=tuple(model.methods),
@@ -253,7 +263,7 @@
     }
 
 
-_WRITERS: dict[type, Any] = {
+_JSON_CONVERTERS: dict[type, Any] = {
     Organisation: _organisation_json,
     Caller: _caller_json,
     Model: _model_json,
--- a/packages/core/src/carobspool_core/schema/_folder.py
+++ b/packages/core/src/carobspool_core/schema/_folder.py
@@ -1,4 +1,4 @@
-"""Reading of the desired state: a folder of files, or one JSON value."""
+"""Read the desired state from a folder of files, or from one JSON value."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from carobspool_core._config import DesiredState
 from carobspool_core._ports import Json
 from carobspool_core.border import Problem, read_json, validate
-from carobspool_core.schema._check import Source, check_whole
+from carobspool_core.schema._check import Source, check_sources
 from carobspool_core.schema._convert import dump_state, to_state
 from carobspool_core.schema._models import StateModel
 
 FILE_PATTERN = "*.json"
-SLICE = 500
-"""Entries of a section that are validated in one go."""
+MAX_ENTRIES_PER_VALIDATION = 500
+"""Entries of a section that one call of the validator checks."""
 
 _FIRST_INDEX = re.compile(r"\[(\d+)\]")
 
@@ -35,7 +35,8 @@
 def load_folder(path: Path) -> Result[DesiredState, tuple[ConfigError, ...]]:
     """Read every ``*.json`` file of a folder as one desired state.
 
-    Files are JSON with comments. Nothing is taken when anything is wrong; all errors come at once.
+    Files are JSON with comments. If any file is invalid, the whole state is refused, and all errors
+    are returned together.
 
     Args:
         path: The folder; its subfolders are not read.
@@ -44,17 +45,18 @@
     """
     files = sorted(file for file in path.glob(FILE_PATTERN) if file.is_file())
     if not files:
-        return Failure((_no_files(path),))
+        return Failure((_no_files_error(path),))
     sources: list[Source] = []
     problems: list[Problem] = []
     for file in files:
-        found, wrong = _read_file(file)
-        sources.extend(found)
-        problems.extend(wrong)
+        file_sources, file_problems = _read_file(file)
+        sources.extend(file_sources)
+        problems.extend(file_problems)
     if problems:
-        # Names in a refused file are unknown, so references to them would be reported falsely.
-        return Failure(_own(problems))
-    return _whole(sources, revision=0)
+        # The names that a refused file declares are unknown, so references to them would be
+        # reported as errors although they may be valid.
+        return Failure(_config_errors(problems))
+    return _check_and_convert(sources, revision=0)
 
 
 def parse_state(value: Json, *, revision: int = 0) -> Result[DesiredState, tuple[ConfigError, ...]]:
@@ -62,18 +64,18 @@
 
     Args:
         value: The JSON value.
-        revision: Revision that the result carries.
+        revision: Revision number of the result.
 
     Since 0.1.
     """
     sources, problems = _read_value(value, "")
     if problems:
-        return Failure(_own(problems))
-    return _whole(sources, revision=revision)
+        return Failure(_config_errors(problems))
+    return _check_and_convert(sources, revision=revision)
 
 
 def check_state(state: DesiredState) -> tuple[ConfigError, ...]:
-    """Return the errors of a state put together from two others.
+    """Return the errors of a state that was merged from two others; empty if it is valid.
 
     Since 0.1.
     """
@@ -91,59 +93,59 @@
 def _read_value(value: Json, file: str) -> tuple[list[Source], list[Problem]]:
     sources: list[Source] = []
     problems: list[Problem] = []
-    for first, piece in _slices(value):
+    for offset, piece in _split_long_sections(value):
         model = validate(StateModel, piece, file=file)
         if is_successful(model):
-            sources.append(Source(file=file, model=model.unwrap(), first=first))
+            sources.append(Source(file=file, model=model.unwrap(), offset=offset))
             continue
-        problems.extend(_shifted(problem, first) for problem in model.failure())
+        problems.extend(_with_shifted_index(problem, offset) for problem in model.failure())
     return sources, problems
 
 
-def _slices(value: Json) -> Iterator[tuple[int, Json]]:
-    """Cut long sections, and yield each piece with the place of its first entry.
+def _split_long_sections(value: Json) -> Iterator[tuple[int, Json]]:
+    """Cut long sections, and yield each piece with the index of its first entry.
 
-    The validation of one value runs in one call that lets no other thread go on. At 30,000
-    organisations an entry would stand still for as long, and its online streams with it.
+    One call of the validator blocks all other threads until it returns. With 30,000 organisations,
+    validating a section in one call would stall an entry process and its online streams.
     """
     if not isinstance(value, dict):
         yield 0, value
         return
-    long = [name for name, items in value.items() if _is_long(items)]
-    yield 0, {name: items for name, items in value.items() if name not in long}
-    for name in long:
+    long_sections = [name for name, items in value.items() if _is_long(items)]
+    yield 0, {name: items for name, items in value.items() if name not in long_sections}
+    for name in long_sections:
         items = value[name]
-        for first in range(0, len(items), SLICE):
-            yield first, {name: items[first : first + SLICE]}
+        for offset in range(0, len(items), MAX_ENTRIES_PER_VALIDATION):
+            yield offset, {name: items[offset : offset + MAX_ENTRIES_PER_VALIDATION]}
 
 
 def _is_long(items: Json) -> bool:
-    return isinstance(items, list) and len(items) > SLICE
+    return isinstance(items, list) and len(items) > MAX_ENTRIES_PER_VALIDATION
 
 
-def _shifted(problem: Problem, first: int) -> Problem:
-    """Return a problem of a piece with its place in the whole section."""
-    if not first:
+def _with_shifted_index(problem: Problem, offset: int) -> Problem:
+    """Return a problem of a piece with its index counted from the start of the section."""
+    if not offset:
         return problem
-    path = _FIRST_INDEX.sub(lambda found: f"[{int(found[1]) + first}]", problem.path, count=1)
+    path = _FIRST_INDEX.sub(lambda match: f"[{int(match[1]) + offset}]", problem.path, count=1)
     return replace(problem, path=path)
 
 
-def _whole(
+def _check_and_convert(
     sources: Sequence[Source], *, revision: int
 ) -> Result[DesiredState, tuple[ConfigError, ...]]:
-    problems = check_whole(sources)
+    problems = check_sources(sources)
     if problems:
-        return Failure(_own(problems))
+        return Failure(_config_errors(problems))
     return Success(to_state([source.model for source in sources], revision=revision))
 
 
-def _no_files(path: Path) -> ConfigError:
+def _no_files_error(path: Path) -> ConfigError:
     allowed = "a folder with at least one file *.json"
     return ConfigError(file=path.name, path="(folder)", found="no file *.json", allowed=allowed)
 
 
-def _own(problems: Iterable[Problem]) -> tuple[ConfigError, ...]:
+def _config_errors(problems: Iterable[Problem]) -> tuple[ConfigError, ...]:
     return tuple(
         ConfigError(file=each.file, path=each.path, found=each.found, allowed=each.allowed)
         for each in problems
--- a/packages/core/src/carobspool_core/schema/_models.py
+++ b/packages/core/src/carobspool_core/schema/_models.py
@@ -1,4 +1,4 @@
-"""Models that validate the desired state as operators write it."""
+"""Models that validate the desired state in the form of operators' files."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 MIB = 1_048_576
 
 Name = Annotated[str, Field(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$")]
-"""Name of an organisation, caller, host or service: it may stand in an object key."""
+"""Name of an organisation, caller, host or service; restricted since object keys contain it."""
 
 ModelName = Annotated[str, Field(pattern=r"^[A-Za-z0-9][A-Za-z0-9._:/-]{0,127}$")]
 
@@ -28,18 +28,18 @@
     try:
         ip_address(host.removeprefix("[").removesuffix("]"))
     except ValueError:
-        raise ValueError("ip:port, the address as an IP number") from None
+        raise ValueError("ip:port with a numeric IP address") from None
     if not port.isdecimal() or not 0 < int(port) <= HIGHEST_PORT:
-        raise ValueError(f"ip:port, the port from 1 to {HIGHEST_PORT}")
+        raise ValueError(f"ip:port with a port from 1 to {HIGHEST_PORT}")
     return value
 
 
 Address = Annotated[str, AfterValidator(_check_address)]
-"""``ip:port``."""
+"""An IP address and a port, ``ip:port``."""
 
 
 class LimitsModel(BorderModel):
-    """Upper bounds; a bound left out does not apply."""
+    """Limits on usage; a limit that is left out does not apply."""
 
     requests_per_minute: Annotated[float, Field(gt=0)] | None = None
     tokens_per_minute: Annotated[float, Field(gt=0)] | None = None
@@ -55,7 +55,7 @@
 
 
 class CallerModel(BorderModel):
-    """One holder of keys; a key itself never stands in a file."""
+    """A holder of API keys; files contain only the hashes of keys, never a key itself."""
 
     id: Name
     organisation: Name
@@ -76,7 +76,7 @@
 
 
 class UpstreamModel(BorderModel):
-    """One upstream with its traits."""
+    """An upstream, its address, and what it serves."""
 
     host: Name
     address: Address
@@ -91,7 +91,7 @@
 
 
 class RouteModel(BorderModel):
-    """How calls below a path prefix are treated."""
+    """How requests below a path prefix are handled."""
 
     prefix: Annotated[str, Field(pattern=r"^/[^?#\s]*$")]
     methods: Annotated[
@@ -103,14 +103,14 @@
 
 
 class ServiceModel(BorderModel):
-    """A plain service."""
+    """A service other than a model engine, with its routes."""
 
     name: Name
     routes: list[RouteModel] = []
 
 
 class BatchModel(BorderModel):
-    """How batch jobs are cut and run."""
+    """How batch jobs are split into chunks and retried, and when they are due."""
 
     chunk_items: Annotated[int, Field(gt=0, le=65_536)] = 256
     chunk_bytes: Annotated[int, Field(ge=1024, lt=MIB)] = 262_144
@@ -128,7 +128,7 @@
 
 
 class StateModel(BorderModel):
-    """One file of the desired state, or all of it; each section may be left out."""
+    """One file of the desired state, or the whole state; each section may be left out."""
 
     organisations: list[OrganisationModel] = []
     callers: list[CallerModel] = []
