--- a/packages/core/src/carobspool_core/problems.py
+++ b/packages/core/src/carobspool_core/problems.py
@@ -17,7 +17,7 @@
 
 from carobspool_core._ports import Json
 
-FOUND_LIMIT_CHARS = 80
+MAX_FOUND_CHARS = 80
 """Longest excerpt of a refused value in an error."""
 
 MAX_PRINTED_INT_BITS = 256
@@ -154,8 +154,8 @@
         # Python refuses to convert very long integers to text, and its ValueError would replace
         # the error about the record.
         return f"a number of {value.bit_length()} bits"
-    text = repr(value[:FOUND_LIMIT_CHARS] if isinstance(value, str | bytes) else value)
-    return text if len(text) <= FOUND_LIMIT_CHARS else f"{text[:FOUND_LIMIT_CHARS]}…"
+    text = repr(value[:MAX_FOUND_CHARS] if isinstance(value, str | bytes) else value)
+    return text if len(text) <= MAX_FOUND_CHARS else f"{text[:MAX_FOUND_CHARS]}…"
 
 
 def _describe_allowed(
--- a/packages/core/src/carobspool_core/schema/_check.py
+++ b/packages/core/src/carobspool_core/schema/_check.py
@@ -105,13 +105,11 @@
 
 
 def _check_operator(index: _Index, sources: Sequence[Source]) -> None:
-    """Refuse a state without an operator, since only an operator's key may apply another state."""
+    """Refuse a state without an operator: nobody could replace it, as only operators can apply."""
     roles = {caller.role for source in sources for caller in source.model.callers}
     if OPERATOR_ROLE in roles:
         return
-    allowed = (
-        f"at least one caller with the role '{OPERATOR_ROLE}'; only operators can apply a state"
-    )
+    allowed = f"at least one caller with the role '{OPERATOR_ROLE}', since only operators can apply"
     index.add_problem("", ("callers",), f"no caller with the role '{OPERATOR_ROLE}'", allowed)
 
 
@@ -136,9 +134,7 @@
 
 def _engine_problems(upstream: UpstreamModel, models: set[str]) -> Iterator[tuple[str, str, str]]:
     if upstream.service is not None:
-        yield "service", repr(
-            upstream.service
-        ), "no service, because the upstream's kind is 'engine'"
+        yield "service", repr(upstream.service), "no service for an upstream of kind 'engine'"
     if not upstream.models:
         yield "models", "no model", _one_of("model", models)
     for name in upstream.models:
@@ -150,7 +146,7 @@
     upstream: UpstreamModel, services: set[str]
 ) -> Iterator[tuple[str, str, str]]:
     if upstream.models:
-        yield "models", "models", "no models, because the upstream's kind is 'service'"
+        yield "models", "models", "no models for an upstream of kind 'service'"
     if upstream.service is None:
         yield "service", "nothing", _one_of("service", services)
         return
