--- a/packages/core/src/carobspool_core/revision/__init__.py
+++ b/packages/core/src/carobspool_core/revision/__init__.py
@@ -1,4 +1,4 @@
-"""Revisions of the whole desired state: parts, differences, rebase and the stored record."""
+"""Revisions of the desired state: parts, diffs, deltas, rebase and the stored record."""
 
 from carobspool_core.revision._delta import (
     Delta,
@@ -10,7 +10,7 @@
 )
 from carobspool_core.revision._diff import Change, Clash, diff, rebase, summarise
 from carobspool_core.revision._parts import (
-    VALUE_LIMIT,
+    MAX_PART_VALUE_CHARS,
     Part,
     PartError,
     Parts,
@@ -31,8 +31,8 @@
 from carobspool_core.revision._sections import SHARDS, Entry, Section, part_name
 
 __all__ = [
+    "MAX_PART_VALUE_CHARS",
     "SHARDS",
-    "VALUE_LIMIT",
     "Change",
     "Clash",
     "Delta",
--- a/packages/core/src/carobspool_core/revision/_delta.py
+++ b/packages/core/src/carobspool_core/revision/_delta.py
@@ -1,9 +1,9 @@
-"""A revision told as its changes against the one before, for processes that have that one.
+"""Deltas: a revision sent as its changes to the previous one, to processes that have that one.
 
-Shipping whole parts costs what a part holds: at 30,000 organisations a change of one caller would
-carry 1,900 others. The changes alone carry what was changed. The receiver makes the parts from them
-and compares their digests with the revision's, so a wrong or a misapplied change is found before
-anything is in force.
+Sending whole parts costs bandwidth for unchanged entries: with 30,000 organisations, a change of
+one caller would carry 1,900 other entries. A delta carries only the changed entries. The receiver
+applies the changes to its own parts and compares the digests with the revision's, so a wrong or
+misapplied change is detected before the new state takes effect.
 """
 
 from __future__ import annotations
@@ -24,24 +24,24 @@
 from carobspool_core.border import BorderModel, validate
 from carobspool_core.revision._parts import DIGEST_BYTES, Part, PartError, Parts, encode_part
 from carobspool_core.revision._record import RecordedChange
-from carobspool_core.revision._sections import KINDS, Section, part_name, section_of
+from carobspool_core.revision._sections import SECTION_SPECS, Section, part_name, section_of
 from carobspool_core.schema import entry_to_json
 
-CHANGES_LIMIT = 500
-"""Changes of which a delta consists at most; a larger change is shipped by its parts."""
+MAX_DELTA_CHANGES = 500
+"""Most changes in a delta; a larger update is sent as whole parts."""
 
-INFLATED_LIMIT = 4 * 1024 * 1024
-"""Bytes of a delta after decompression, so that a corrupt value cannot exhaust memory."""
+MAX_DELTA_CONTENT_BYTES = 4 * 1024 * 1024
+"""Largest decompressed delta, so that a corrupt value cannot exhaust memory."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Delta:
-    """What was changed against another revision.
+    """The changes from one revision to another.
 
     Attributes:
-        base: The revision to which the changes apply.
-        root: Digest over the parts of the revision that results.
-        changes: Entries with what they are now.
+        base: Number of the revision to which the changes apply.
+        root: Digest over the parts of the resulting revision.
+        changes: The changed entries with their new values.
 
     Since 0.1.
     """
@@ -58,7 +58,7 @@
 
 
 def root_digest(digests: Mapping[str, str]) -> str:
-    """Return one digest over the digests of all parts by name."""
+    """Return one digest over the digests of all parts, which are given by part name."""
     content = json.dumps(digests, sort_keys=True, separators=(",", ":")).encode("utf-8")
     return blake2b(content, digest_size=DIGEST_BYTES).hexdigest()
 
@@ -66,8 +66,13 @@
 def delta_between(base: int, before: Parts, after: Parts) -> Delta | None:
     """Return the changes from one revision's parts to another's.
 
+    Args:
+        base: Number of the revision that has the parts ``before``.
+        before: The parts to which the changes apply.
+        after: The parts that result.
+
     Returns:
-        ``None`` when there are so many that parts are the better way.
+        The delta, or ``None`` for more than `MAX_DELTA_CHANGES` changes, which are sent as parts.
 
     Since 0.1.
     """
@@ -77,31 +82,31 @@
         if old is not None and new is not None and old.digest == new.digest:
             continue
         changes.extend(_part_changes(name, old, new))
-        if len(changes) > CHANGES_LIMIT:
+        if len(changes) > MAX_DELTA_CHANGES:
             return None
     digests = {name: part.digest for name, part in after.items()}
     return Delta(base=base, root=root_digest(digests), changes=tuple(changes))
 
 
 def patch(parts: Parts, changes: Sequence[RecordedChange]) -> Result[dict[str, Part], PartError]:
-    """Return the parts that result from changes.
+    """Apply changes to parts, and return the resulting parts; ``parts`` itself is not modified.
 
     Since 0.1.
     """
-    touched: dict[str, dict[str, Any]] = {}
+    entries_by_part: dict[str, dict[str, Any]] = {}
     for change in changes:
-        entry = _entry(change)
+        entry = _validated_entry(change)
         if not is_successful(entry):
             return Failure(entry.failure())
         name = part_name(Section(change.section), change.name)
-        present = parts.get(name)
-        entries = touched.setdefault(name, dict(present.entries) if present else {})
+        existing = parts.get(name)
+        entries = entries_by_part.setdefault(name, dict(existing.entries) if existing else {})
         if change.after is None:
             entries.pop(change.name, None)
             continue
         entries[change.name] = entry.unwrap()
     patched = dict(parts)
-    for name, entries in touched.items():
+    for name, entries in entries_by_part.items():
         if not entries:
             patched.pop(name, None)
             continue
@@ -110,7 +115,7 @@
 
 
 def pack_delta(delta: Delta) -> str:
-    """Return a delta as text, to be shipped."""
+    """Encode a delta as text for sending."""
     rows = [[each.section, each.name, each.after] for each in delta.changes]
     value = {"base": delta.base, "root": delta.root, "changes": rows}
     content = json.dumps(value, separators=(",", ":")).encode("utf-8")
@@ -118,18 +123,20 @@
 
 
 def unpack_delta(text: str) -> Result[Delta, PartError]:
-    """Read a delta that was shipped."""
-    inflater = zlib.decompressobj()
+    """Decode and validate the text of a received delta."""
+    decompressor = zlib.decompressobj()
     try:
-        content = inflater.decompress(base64.b64decode(text, validate=True), INFLATED_LIMIT)
+        content = decompressor.decompress(
+            base64.b64decode(text, validate=True), MAX_DELTA_CONTENT_BYTES
+        )
         value = json.loads(content)
     except (binascii.Error, ValueError, zlib.error):
-        return Failure(_error("not a compressed value"))
+        return Failure(_delta_error("not zlib-compressed JSON in base64"))
     model = validate(_DeltaModel, value)
     if not is_successful(model):
-        return Failure(_error(str(model.failure()[0])))
+        return Failure(_delta_error(str(model.failure()[0])))
     found = model.unwrap()
-    changes = tuple(_row_change(row) for row in found.changes)
+    changes = tuple(_change_from_row(row) for row in found.changes)
     return Success(Delta(base=found.base, root=found.root, changes=changes))
 
 
@@ -143,28 +150,28 @@
     for key in before.keys() | after.keys():
         if before.get(key) == after.get(key):
             continue
-        now = None if key not in after else entry_to_json(after[key])
-        changes.append(RecordedChange(section=section.value, name=key, before=None, after=now))
+        value = None if key not in after else entry_to_json(after[key])
+        changes.append(RecordedChange(section=section.value, name=key, before=None, after=value))
     return changes
 
 
-def _entry(change: RecordedChange) -> Result[Any, PartError]:
+def _validated_entry(change: RecordedChange) -> Result[Any, PartError]:
     section = section_of(change.section)
     if section is None:
-        return Failure(_error(f"unknown section {change.section!r}"))
+        return Failure(_delta_error(f"unknown section {change.section!r}"))
     if change.after is None:
         return Success(None)
-    kind = KINDS[section]
-    model = validate(kind.model, change.after)
+    spec = SECTION_SPECS[section]
+    model = validate(spec.model, change.after)
     if not is_successful(model):
-        return Failure(_error(f"{change.section}/{change.name}: {model.failure()[0]}"))
-    return Success(kind.convert(model.unwrap()))
+        return Failure(_delta_error(f"{change.section}/{change.name}: {model.failure()[0]}"))
+    return Success(spec.convert(model.unwrap()))
 
 
-def _row_change(row: Sequence[Json]) -> RecordedChange:
+def _change_from_row(row: Sequence[Json]) -> RecordedChange:
     section, name, after = [*row, None, None, None][:3]
     return RecordedChange(section=str(section), name=str(name), before=None, after=after)
 
 
-def _error(detail: str) -> PartError:
+def _delta_error(detail: str) -> PartError:
     return PartError(part="delta", detail=detail)
--- a/packages/core/src/carobspool_core/revision/_diff.py
+++ b/packages/core/src/carobspool_core/revision/_diff.py
@@ -1,4 +1,4 @@
-"""Differences between two desired states, and moving a change onto a newer revision."""
+"""Diffs between two desired states, and rebasing of changes onto a newer revision."""
 
 from __future__ import annotations
 
@@ -14,14 +14,15 @@
     Entry,
     Section,
     entries_of,
-    with_sections,
+    state_from_sections,
 )
 from carobspool_core.schema import entry_to_json
 
-SUMMARY_LINES = 50
-"""Changes that a summary names one by one."""
+MAX_SUMMARY_LINES = 50
+"""Changes that a summary lists one by one."""
 
-_UNNAMED_KEYS = frozenset({"key_hashes"})
+_HIDDEN_FIELDS = frozenset({"key_hashes"})
+"""Fields whose values a summary does not show."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -31,8 +32,8 @@
     Attributes:
         section: The entry's section.
         name: The entry's name; empty in a section that has a single entry.
-        before: The entry in the first state, or ``None``.
-        after: The entry in the second state, or ``None``.
+        before: The entry in the first state; ``None`` if it was added.
+        after: The entry in the second state; ``None`` if it was removed.
 
     Since 0.1.
     """
@@ -44,20 +45,25 @@
 
     @property
     def subject(self) -> str:
-        """The entry as people name it: ``callers/editor``."""
+        """Section and name of the entry, for example ``callers/editor``."""
         return f"{self.section}/{self.name}" if self.name else str(self.section)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Clash:
-    """Two changes of the same entry, made from the same base, to different ends."""
+    """Two conflicting changes of one entry, made from the same base with different results.
+
+    Attributes:
+        mine: The change that is rebased.
+        theirs: The change that the newer revision already contains.
+    """
 
     mine: Change
     theirs: Change
 
 
 def diff(before: DesiredState, after: DesiredState) -> tuple[Change, ...]:
-    """Return every entry that differs, section by section in the order of names.
+    """Return every entry that differs, ordered by section and then by name.
 
     Since 0.1.
     """
@@ -72,38 +78,41 @@
 def rebase(
     base: DesiredState, mine: DesiredState, head: DesiredState
 ) -> Result[DesiredState, tuple[Clash, ...]]:
-    """Move the changes from ``base`` to ``mine`` onto ``head``.
+    """Apply the changes from ``base`` to ``mine`` to ``head``.
 
     Changes of different entries merge, and so do equal changes of one entry. The result may still
-    be invalid as a whole: one side may have removed an organisation to which the other added a
-    caller. The caller checks it.
+    be invalid as a whole: one side may have removed an organisation to which the other side added
+    a caller. Whoever calls this function validates the result.
+
+    Returns:
+        The merged state, or the conflicts.
 
     Since 0.1.
     """
     theirs = {(each.section, each.name): each for each in diff(base, head)}
-    wanted: list[Change] = []
+    to_apply: list[Change] = []
     clashes: list[Clash] = []
     for change in diff(base, mine):
         other = theirs.get((change.section, change.name))
         if other is None:
-            wanted.append(change)
+            to_apply.append(change)
             continue
         if other.after != change.after:
             clashes.append(Clash(mine=change, theirs=other))
     if clashes:
         return Failure(tuple(clashes))
-    return Success(_with_changes(head, wanted))
+    return Success(_with_changes(head, to_apply))
 
 
 def summarise(changes: Sequence[Change]) -> tuple[str, ...]:
-    """Return one line for each change, or for as many as a person reads, and the count of others.
+    """Return one line for each change, up to `MAX_SUMMARY_LINES`, and the number of the others.
 
     Since 0.1.
     """
-    lines = [_line(change) for change in changes[:SUMMARY_LINES]]
-    rest = len(changes) - len(lines)
-    if rest:
-        lines.append(f"and {rest} more")
+    lines = [_summary_line(change) for change in changes[:MAX_SUMMARY_LINES]]
+    omitted = len(changes) - len(lines)
+    if omitted:
+        lines.append(f"and {omitted} more")
     return tuple(lines)
 
 
@@ -124,24 +133,24 @@
             entries.pop(change.name, None)
             continue
         entries[change.name] = change.after
-    return with_sections(sections, state.revision)
+    return state_from_sections(sections, state.revision)
 
 
-def _line(change: Change) -> str:
+def _summary_line(change: Change) -> str:
     if change.before is None:
         return f"{change.subject}: added"
     if change.after is None:
         return f"{change.subject}: removed"
-    return f"{change.subject}: {', '.join(_field_changes(change))}"
+    return f"{change.subject}: {', '.join(_describe_field_changes(change))}"
 
 
-def _field_changes(change: Change) -> Iterator[str]:
+def _describe_field_changes(change: Change) -> Iterator[str]:
     before: dict[str, Json] = entry_to_json(change.before)
     after: dict[str, Json] = entry_to_json(change.after)
     for field in before:
         if before[field] == after[field]:
             continue
-        if field in _UNNAMED_KEYS:
+        if field in _HIDDEN_FIELDS:
             yield f"{field} changed"
             continue
         yield f"{field} {before[field]!r} -> {after[field]!r}"
--- a/packages/core/src/carobspool_core/revision/_parts.py
+++ b/packages/core/src/carobspool_core/revision/_parts.py
@@ -1,4 +1,4 @@
-"""Content-addressed parts: how a desired state is written, shipped and put together again."""
+"""Content-addressed parts, in which a desired state is stored and sent."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
 from carobspool_core._ports import Json
 from carobspool_core.border import validate
 from carobspool_core.revision._sections import (
-    KINDS,
+    SECTION_SPECS,
     Entries,
     Section,
     entries_of,
     part_name,
     section_of,
-    with_sections,
+    state_from_sections,
 )
 from carobspool_core.schema import entry_to_json
 
-VALUE_LIMIT = 1_000_000
-"""Characters of a part's value: the platform holds values up to a megabyte."""
+MAX_PART_VALUE_CHARS = 1_000_000
+"""Longest value of a part, since the platform stores values of up to a megabyte."""
 
-INFLATED_LIMIT = 64 * 1024 * 1024
-"""Bytes of a part after decompression, so that a corrupt value cannot exhaust memory."""
+MAX_PART_CONTENT_BYTES = 64 * 1024 * 1024
+"""Largest decompressed part, so that a corrupt value cannot exhaust memory."""
 
 DIGEST_BYTES = 16
 
@@ -41,10 +41,10 @@
     """One part of a desired state.
 
     Attributes:
-        name: Section, and shard where the section is cut: ``models``, ``callers/07``.
+        name: The section, with the shard if the section is sharded: ``models``, ``callers/07``.
         digest: Digest of the content before compression, in hex.
-        value: The content, compressed and in base64.
-        entries: The content as data classes.
+        value: The content, compressed and encoded in base64.
+        entries: The decoded content, as data classes by entry name.
 
     Since 0.1.
     """
@@ -57,11 +57,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PartError:
-    """A part that cannot be written or read.
+    """A part or delta that cannot be stored or read.
 
     Attributes:
-        part: Its name.
-        detail: What is wrong.
+        part: Name of the part or of its section, or ``delta``.
+        detail: Description of the error.
 
     Since 0.1.
     """
@@ -71,34 +71,34 @@
 
 
 Parts = Mapping[str, Part]
-"""The parts of a state by name. A part without entries is left out."""
+"""The parts of a state by name; parts without entries are omitted."""
 
 
 def split(
     state: DesiredState, known: Parts | None = None
 ) -> Result[dict[str, Part], tuple[PartError, ...]]:
-    """Cut a state into parts.
+    """Split a state into parts.
 
     Args:
         state: The state.
-        known: Parts of another state; those with equal entries are taken as they are, which spares
-            writing and compressing them again.
+        known: Parts of another state; those with equal entries are reused, which avoids encoding
+            and compressing them again.
 
     Returns:
-        The parts, or the parts that are larger than the platform holds.
+        The parts by name, or an error for each part that is too large for the platform.
 
     Since 0.1.
     """
     parts: dict[str, Part] = {}
     errors: list[PartError] = []
-    for name, entries in _groups(state).items():
-        present = known.get(name) if known else None
-        if present is not None and present.entries == entries:
-            parts[name] = present
+    for name, entries in _entries_by_part(state).items():
+        existing = known.get(name) if known else None
+        if existing is not None and existing.entries == entries:
+            parts[name] = existing
             continue
         part = encode_part(name, entries)
-        if len(part.value) > VALUE_LIMIT:
-            detail = f"{len(part.value)} characters; at most {VALUE_LIMIT} can be stored"
+        if len(part.value) > MAX_PART_VALUE_CHARS:
+            detail = f"{len(part.value)} characters; at most {MAX_PART_VALUE_CHARS} can be stored"
             errors.append(PartError(part=name, detail=detail))
             continue
         parts[name] = part
@@ -106,7 +106,7 @@
 
 
 def join(parts: Parts, revision: int) -> DesiredState:
-    """Return the state that the parts make up.
+    """Assemble a state from its parts.
 
     Since 0.1.
     """
@@ -116,26 +116,26 @@
         if section is None:
             continue
         sections.setdefault(section, {}).update(part.entries)
-    return with_sections(sections, revision)
+    return state_from_sections(sections, revision)
 
 
 def encode_part(name: str, entries: Entries) -> Part:
-    """Return the part with the given entries."""
+    """Encode entries as a part."""
     content = _canonical([entry_to_json(entries[key]) for key in sorted(entries)])
     value = base64.b64encode(zlib.compress(content)).decode("ascii")
     return Part(name=name, digest=_digest(content), value=value, entries=entries)
 
 
 def decode_part(name: str, digest: str, value: str) -> Result[Part, PartError]:
-    """Read a part, and check that it is the one that the digest names.
+    """Decode a part, and check its content against the digest.
 
     Since 0.1.
     """
-    content = _inflate(value)
+    content = _decompress(value)
     if content is None:
-        return Failure(PartError(part=name, detail="not a compressed value"))
+        return Failure(PartError(part=name, detail="not a zlib-compressed value in base64"))
     if _digest(content) != digest:
-        return Failure(PartError(part=name, detail=f"its content is not {digest}"))
+        return Failure(PartError(part=name, detail=f"the digest of its content is not {digest}"))
     section = section_of(name)
     if section is None:
         return Failure(PartError(part=name, detail="unknown section"))
@@ -144,24 +144,24 @@
     )
 
 
-def _groups(state: DesiredState) -> dict[str, dict[str, object]]:
-    groups: dict[str, dict[str, object]] = {}
+def _entries_by_part(state: DesiredState) -> dict[str, dict[str, object]]:
+    parts: dict[str, dict[str, object]] = {}
     for section in Section:
         for key, entry in entries_of(state, section).items():
-            groups.setdefault(part_name(section, key), {})[key] = entry
-    return groups
+            parts.setdefault(part_name(section, key), {})[key] = entry
+    return parts
 
 
 def _read_entries(section: Section, items: Json) -> Result[Entries, PartError]:
-    kind = KINDS[section]
+    spec = SECTION_SPECS[section]
     entries: dict[str, object] = {}
     for item in items:
-        model = validate(kind.model, item)
+        model = validate(spec.model, item)
         if not is_successful(model):
             detail = "; ".join(str(problem) for problem in model.failure())
             return Failure(PartError(part=section.value, detail=detail))
-        entry = kind.convert(model.unwrap())
-        entries[kind.name(entry)] = entry
+        entry = spec.convert(model.unwrap())
+        entries[spec.name(entry)] = entry
     return Success(entries)
 
 
@@ -173,10 +173,12 @@
     return blake2b(content, digest_size=DIGEST_BYTES).hexdigest()
 
 
-def _inflate(value: str) -> bytes | None:
-    inflater = zlib.decompressobj()
+def _decompress(value: str) -> bytes | None:
+    decompressor = zlib.decompressobj()
     try:
-        content = inflater.decompress(base64.b64decode(value, validate=True), INFLATED_LIMIT)
+        content = decompressor.decompress(
+            base64.b64decode(value, validate=True), MAX_PART_CONTENT_BYTES
+        )
     except (binascii.Error, ValueError, zlib.error):
         return None
-    return content if inflater.eof else None
+    return content if decompressor.eof else None
--- a/packages/core/src/carobspool_core/revision/_record.py
+++ b/packages/core/src/carobspool_core/revision/_record.py
@@ -1,4 +1,4 @@
-"""The immutable object of one revision: what was changed, by whom, when and why."""
+"""The immutable stored object of one revision: its changes, author, time and reason."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 from carobspool_core.revision._diff import Change
 from carobspool_core.schema import entry_to_json
 
-CHANGES_LIMIT = 500_000
-"""Characters of the changes kept in a revision; over it only their summary is kept.
+MAX_CHANGES_CHARS = 500_000
+"""Longest encoded list of changes in a revision; of a longer list only the summary is stored.
 
-The parts of the revision and of the one before it still tell them.
+The changes can then still be computed from the parts of the revision and of the one before it.
 """
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RecordedChange:
-    """A change as the audit trail keeps it; entries in JSON, as they were at the time."""
+    """A change as the audit trail stores it, with the entries of that time as JSON."""
 
     section: str
     name: str
@@ -41,16 +41,16 @@
     """One accepted revision of the desired state.
 
     Attributes:
-        number: Its number; one more than the revision that it follows.
-        base: Revision that the author saw; older than ``number - 1`` when it was rebased.
+        number: Number of the revision; one more than that of its predecessor.
+        base: Revision that the author edited; older than ``number - 1`` after a rebase.
         author: Caller id of the operator.
-        reason: Why, in the author's words.
-        at: When it was written, in milliseconds since the Unix epoch.
-        write: Unique id of the write, by which the author's process knows its own.
-        summary: One line for each change, or for the first of many.
+        reason: Reason for the change, as the author gave it.
+        at: Time of writing, in milliseconds since the Unix epoch.
+        write: Unique id of the write, by which a process recognises a revision that it wrote.
+        summary: One line for each change; of many changes, only the first are listed.
         count: Number of changes.
-        parts: Digest of each part by name.
-        changes: The changes, or ``None`` when they were too many to keep.
+        parts: Digest of each part by part name.
+        changes: The changes, or ``None`` when they were too long to store.
 
     Since 0.1.
     """
@@ -88,13 +88,13 @@
 
 
 def record_changes(changes: Sequence[Change]) -> tuple[RecordedChange, ...] | None:
-    """Return the changes to keep, or ``None`` when they are too many for one object."""
-    recorded = tuple(_recorded(change) for change in changes)
-    return recorded if len(_pack(recorded)) <= CHANGES_LIMIT else None
+    """Return the changes as they are stored, or ``None`` when they are too long for one object."""
+    recorded = tuple(_to_recorded_change(change) for change in changes)
+    return recorded if len(_encode_changes(recorded)) <= MAX_CHANGES_CHARS else None
 
 
 def revision_to_json(revision: Revision) -> Json:
-    """Return a revision as it is stored."""
+    """Return the stored form of a revision."""
     changes = revision.changes
     return {
         "number": revision.number,
@@ -106,18 +106,18 @@
         "summary": list(revision.summary),
         "count": revision.count,
         "parts": dict(revision.parts),
-        "changes": None if changes is None else _pack(changes),
+        "changes": None if changes is None else _encode_changes(changes),
     }
 
 
 def revision_from_json(value: Json) -> Result[Revision, RevisionError]:
-    """Read a stored revision."""
+    """Parse and validate the stored form of a revision."""
     model = validate(_RevisionModel, value)
     if not is_successful(model):
         detail = "; ".join(str(problem) for problem in model.failure())
         return Failure(RevisionError(detail=detail))
     found = model.unwrap()
-    changes = None if found.changes is None else _unpack(found.changes)
+    changes = None if found.changes is None else _decode_changes(found.changes)
     return Success(
         Revision(
             number=found.number,
@@ -135,7 +135,7 @@
 
 
 def revision_audit(revision: Revision) -> AuditRecord:
-    """Return a revision as an audit record; entries under their section and name."""
+    """Return a revision as an audit record, with the entries by section and name."""
     changes = revision.changes
     before: Json = {"changes": revision.count}
     after: Json = {"changes": revision.count}
@@ -153,7 +153,7 @@
     )
 
 
-def _recorded(change: Change) -> RecordedChange:
+def _to_recorded_change(change: Change) -> RecordedChange:
     return RecordedChange(
         section=str(change.section),
         name=change.name,
@@ -166,13 +166,13 @@
     return f"{change.section}/{change.name}" if change.name else change.section
 
 
-def _pack(changes: Sequence[RecordedChange]) -> str:
+def _encode_changes(changes: Sequence[RecordedChange]) -> str:
     rows = [[each.section, each.name, each.before, each.after] for each in changes]
     content = json.dumps(rows, separators=(",", ":")).encode("utf-8")
     return base64.b64encode(zlib.compress(content)).decode("ascii")
 
 
-def _unpack(value: str) -> tuple[RecordedChange, ...] | None:
+def _decode_changes(value: str) -> tuple[RecordedChange, ...] | None:
     try:
         rows = json.loads(zlib.decompress(base64.b64decode(value)))
     except (binascii.Error, zlib.error, ValueError):
--- a/packages/core/src/carobspool_core/revision/_sections.py
+++ b/packages/core/src/carobspool_core/revision/_sections.py
@@ -1,4 +1,4 @@
-"""The sections of the desired state, and how each is cut into parts."""
+"""The sections of the desired state, and how each is split into parts."""
 
 from __future__ import annotations
 
@@ -23,19 +23,19 @@
 from carobspool_core.schema import _models as models
 
 SHARDS = 32
-"""Parts into which organisations, and callers, are cut.
+"""Parts into which the organisations are split, and likewise the callers.
 
-With 30,000 organisations one part then holds about 940 of them, so that a change of one caller
-writes and ships a thirty-second of the callers; more parts would make each revision's list of
-digests, which every change writes too, longer. See docs/design/configuration.md for the figures.
+With 30,000 organisations one part holds about 940 of them, so that a change of one caller writes
+and sends a thirty-second of the callers. More parts would lengthen the list of digests, which every
+revision stores. See docs/design/configuration.md for the figures.
 """
 
-SINGLE = ""
-"""Name of the only entry of a section that has one."""
+SINGLE_ENTRY_NAME = ""
+"""Name of the entry in a section that has a single entry."""
 
 Entry = Organisation | Caller | Model | Upstream | Service | BatchShaping | OnlineSlowdown
 Entries = Mapping[str, Any]
-"""Entries of one part or section by name."""
+"""Entries of a part or section by name."""
 
 
 class Section(StrEnum):
@@ -51,8 +51,15 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Kind:
-    """How the entries of a section are validated, converted and named."""
+class SectionSpec:
+    """How the entries of a section are validated, converted and named.
+
+    Attributes:
+        model: Model that validates the JSON of an entry.
+        convert: Converts a validated entry to its data class.
+        name: Returns the name of a converted entry.
+        sharded: Whether the section is split into `SHARDS` parts.
+    """
 
     model: type[BorderModel]
     convert: Callable[[Any], Entry]
@@ -60,33 +67,35 @@
     sharded: bool = False
 
 
-KINDS: Mapping[Section, Kind] = {
-    Section.ORGANISATIONS: Kind(
+SECTION_SPECS: Mapping[Section, SectionSpec] = {
+    Section.ORGANISATIONS: SectionSpec(
         model=models.OrganisationModel,
         convert=convert.to_organisation,
         name=lambda entry: entry.name,
         sharded=True,
     ),
-    Section.CALLERS: Kind(
+    Section.CALLERS: SectionSpec(
         model=models.CallerModel,
         convert=convert.to_caller,
         name=lambda entry: entry.id,
         sharded=True,
     ),
-    Section.MODELS: Kind(
+    Section.MODELS: SectionSpec(
         model=models.ModelModel, convert=convert.to_model, name=lambda entry: entry.name
     ),
-    Section.UPSTREAMS: Kind(
+    Section.UPSTREAMS: SectionSpec(
         model=models.UpstreamModel, convert=convert.to_upstream, name=lambda entry: entry.host
     ),
-    Section.SERVICES: Kind(
+    Section.SERVICES: SectionSpec(
         model=models.ServiceModel, convert=convert.to_service, name=lambda entry: entry.name
     ),
-    Section.BATCH: Kind(
-        model=models.BatchModel, convert=convert.to_batch, name=lambda entry: SINGLE
+    Section.BATCH: SectionSpec(
+        model=models.BatchModel, convert=convert.to_batch, name=lambda entry: SINGLE_ENTRY_NAME
     ),
-    Section.ONLINE_SLOWDOWN: Kind(
-        model=models.OnlineSlowdownModel, convert=convert.to_slowdown, name=lambda entry: SINGLE
+    Section.ONLINE_SLOWDOWN: SectionSpec(
+        model=models.OnlineSlowdownModel,
+        convert=convert.to_slowdown,
+        name=lambda entry: SINGLE_ENTRY_NAME,
     ),
 }
 
@@ -94,15 +103,15 @@
 def entries_of(state: DesiredState, section: Section) -> Entries:
     """Return a section's entries by name."""
     if section is Section.BATCH:
-        return {SINGLE: state.batch}
+        return {SINGLE_ENTRY_NAME: state.batch}
     if section is Section.ONLINE_SLOWDOWN:
-        return {SINGLE: state.online_slowdown}
+        return {SINGLE_ENTRY_NAME: state.online_slowdown}
     entries: Entries = getattr(state, section.value)
     return entries
 
 
-def with_sections(sections: Mapping[Section, Entries], revision: int) -> DesiredState:
-    """Return the state that has the given entries; a missing section is empty or at its default."""
+def state_from_sections(sections: Mapping[Section, Entries], revision: int) -> DesiredState:
+    """Return the state with the given entries; a missing section is empty or has its default."""
     batch = sections.get(Section.BATCH, {})
     slowdown = sections.get(Section.ONLINE_SLOWDOWN, {})
     return DesiredState(
@@ -112,14 +121,14 @@
         models=sections.get(Section.MODELS, {}),
         upstreams=sections.get(Section.UPSTREAMS, {}),
         services=sections.get(Section.SERVICES, {}),
-        batch=batch.get(SINGLE, BatchShaping()),
-        online_slowdown=slowdown.get(SINGLE, OnlineSlowdown()),
+        batch=batch.get(SINGLE_ENTRY_NAME, BatchShaping()),
+        online_slowdown=slowdown.get(SINGLE_ENTRY_NAME, OnlineSlowdown()),
     )
 
 
 def part_name(section: Section, entry_name: str) -> str:
     """Return the name of the part that holds an entry."""
-    if not KINDS[section].sharded:
+    if not SECTION_SPECS[section].sharded:
         return section.value
     shard = zlib.crc32(entry_name.encode()) % SHARDS
     return f"{section.value}/{shard:02d}"
