--- a/packages/core/src/carobspool_core/records/__init__.py
+++ b/packages/core/src/carobspool_core/records/__init__.py
@@ -1,10 +1,10 @@
-"""Validation of what a direct entry reads: its settings, records of the store, messages of peers.
+"""Validation of the input of a direct entry: its settings, stored records, messages of peers.
 
-Models are classes with annotations, like those of `carobspool_core.border`, and are checked by the
-same engine under the same rules: values are not coerced, and NaN and infinities are refused. The
-difference is when they are built. A process that starts again after a crash serves nobody while it
-imports, so nothing is built before a model is first used, and the library that derives schemas,
-documentation and serializers from models is not loaded.
+Models are annotated classes, like those of `carobspool_core.border`, and are checked by the same
+engine (pydantic-core) under the same rules: values are not coerced, and NaN and infinities are
+refused. They differ in when validators are built. A process that restarts after a crash serves no
+requests while it imports modules, so a validator is built when its model is first used, and
+pydantic, which derives schemas, documentation and serializers from models, is not loaded.
 """
 
 from carobspool_core.records._declaration import (
--- a/packages/core/src/carobspool_core/records/_core_schema.py
+++ b/packages/core/src/carobspool_core/records/_core_schema.py
@@ -1,4 +1,4 @@
-"""Schemas of models in the words of the validation engine."""
+"""Conversion of models to schemas of pydantic-core."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 Schema = dict[str, Any]
 
-_PLAIN: dict[Any, str] = {
+_SCALAR_TYPES: dict[Any, str] = {
     Any: "any",
     bool: "bool",
     bytes: "bytes",
@@ -27,7 +27,7 @@
     str: "str",
     types.NoneType: "none",
 }
-_JSON_VALUE: Schema = {"type": "definition-ref", "schema_ref": "json"}
+_JSON_VALUE_SCHEMA: Schema = {"type": "definition-ref", "schema_ref": "json"}
 _JSON_DEFINITION: Schema = {
     "type": "tagged-union",
     "ref": "json",
@@ -40,20 +40,24 @@
         "float": {"type": "float"},
         "int": {"type": "int"},
         "str": {"type": "str"},
-        "list": {"type": "list", "items_schema": _JSON_VALUE},
-        "dict": {"type": "dict", "keys_schema": {"type": "str"}, "values_schema": _JSON_VALUE},
+        "list": {"type": "list", "items_schema": _JSON_VALUE_SCHEMA},
+        "dict": {
+            "type": "dict",
+            "keys_schema": {"type": "str"},
+            "values_schema": _JSON_VALUE_SCHEMA,
+        },
     },
 }
 
 
 def schema_of(model: type[Record]) -> Schema:
-    """Return the whole schema of a model."""
-    schema = _model(model)
+    """Return the complete pydantic-core schema of a model, with the definitions it refers to."""
+    schema = _model_schema(model)
     return {"type": "definitions", "schema": schema, "definitions": [_JSON_DEFINITION]}
 
 
-def _model(model: type[Record]) -> Schema:
-    fields = {name: _field(*declared) for name, declared in fields_of(model).items()}
+def _model_schema(model: type[Record]) -> Schema:
+    fields = {name: _field_schema(*declared) for name, declared in fields_of(model).items()}
     return {
         "type": "model",
         "cls": model,
@@ -67,106 +71,110 @@
     }
 
 
-def _field(annotation: Any, declared: Field) -> Schema:
-    schema = _bounded(_schema(annotation), declared.bounds)
+def _field_schema(annotation: Any, declared: Field) -> Schema:
+    schema = _with_bounds(_type_schema(annotation), declared.bounds)
     if not declared.required:
-        # A mutable default is shared by all that is read unless it is copied.
-        copied = isinstance(declared.default, dict | list)
+        # Without a copy, all records would share one mutable default.
+        copy_default = isinstance(declared.default, dict | list)
         schema = {
             "type": "default",
             "schema": schema,
             "default": declared.default,
-            "copy_default": copied,
+            "copy_default": copy_default,
         }
-    found = {"type": "model-field", "schema": schema}
+    field_schema = {"type": "model-field", "schema": schema}
     if declared.alias is not None:
-        found["validation_alias"] = declared.alias
-    return found
+        field_schema["validation_alias"] = declared.alias
+    return field_schema
 
 
-def _schema(annotation: Any) -> Schema:
-    if annotation in _PLAIN:
-        return {"type": _PLAIN[annotation]}
+def _type_schema(annotation: Any) -> Schema:
+    if annotation in _SCALAR_TYPES:
+        return {"type": _SCALAR_TYPES[annotation]}
     if isinstance(annotation, type) and issubclass(annotation, Record):
-        return _model(annotation)
-    read = _BY_ORIGIN.get(get_origin(annotation))
-    if read is None:
-        raise TypeError(f"records have no fields of type {annotation!r}")
-    return read(annotation)
-
-
-def _annotated(annotation: Any) -> Schema:
-    inner, *marks = get_args(annotation)
-    for mark in marks:
-        if mark is JSON_VALUE:
-            return _JSON_VALUE
-        if isinstance(mark, UnionBy):
-            return _tagged_union(inner, mark.field)
-        if isinstance(mark, ValidatedBy) and mark.when == "plain":
-            return {"type": "function-plain", "function": _function(mark)}
-    schema = _schema(inner)
-    for mark in marks:
-        if isinstance(mark, Bounds):
-            schema = _bounded(schema, mark)
-        if isinstance(mark, ValidatedBy):
+        return _model_schema(annotation)
+    convert = _BY_ORIGIN.get(get_origin(annotation))
+    if convert is None:
+        raise TypeError(f"unsupported type of a record field: {annotation!r}")
+    return convert(annotation)
+
+
+def _annotated_schema(annotation: Any) -> Schema:
+    inner, *metadata = get_args(annotation)
+    for item in metadata:
+        if item is JSON_VALUE:
+            return _JSON_VALUE_SCHEMA
+        if isinstance(item, UnionBy):
+            return _tagged_union_schema(inner, item.field)
+        if isinstance(item, ValidatedBy) and item.mode == "plain":
+            return {"type": "function-plain", "function": _function_schema(item)}
+    schema = _type_schema(inner)
+    for item in metadata:
+        if isinstance(item, Bounds):
+            schema = _with_bounds(schema, item)
+        if isinstance(item, ValidatedBy):
             schema = {
-                "type": f"function-{mark.when}",
-                "function": _function(mark),
+                "type": f"function-{item.mode}",
+                "function": _function_schema(item),
                 "schema": schema,
             }
     return schema
 
 
-def _function(mark: ValidatedBy) -> Schema:
-    return {"type": "no-info", "function": mark.function}
+def _function_schema(item: ValidatedBy) -> Schema:
+    return {"type": "no-info", "function": item.function}
 
 
-def _tagged_union(union: Any, name: str) -> Schema:
+def _tagged_union_schema(union: Any, name: str) -> Schema:
     choices: Schema = {}
     for member in get_args(union):
         annotation, _ = fields_of(member)[name]
-        choices.update((tag, _model(member)) for tag in get_args(annotation))
+        choices.update((tag, _model_schema(member)) for tag in get_args(annotation))
     return {"type": "tagged-union", "discriminator": name, "choices": choices}
 
 
-def _bounded(schema: Schema, bounds: Bounds) -> Schema:
+def _with_bounds(schema: Schema, bounds: Bounds) -> Schema:
     given = bounds.given()
     if not given:
         return schema
     if schema["type"] == "nullable":
-        return {**schema, "schema": _bounded(schema["schema"], bounds)}
+        return {**schema, "schema": _with_bounds(schema["schema"], bounds)}
     return {**schema, **given}
 
 
-def _union(annotation: Any) -> Schema:
+def _union_schema(annotation: Any) -> Schema:
     members = [each for each in get_args(annotation) if each is not types.NoneType]
     if len(members) == 1:
-        schema = _schema(members[0])
+        schema = _type_schema(members[0])
     else:
-        schema = {"type": "union", "choices": [_schema(each) for each in members]}
+        schema = {"type": "union", "choices": [_type_schema(each) for each in members]}
     if len(members) < len(get_args(annotation)):
         return {"type": "nullable", "schema": schema}
     return schema
 
 
-def _literal(annotation: Any) -> Schema:
+def _literal_schema(annotation: Any) -> Schema:
     return {"type": "literal", "expected": list(get_args(annotation))}
 
 
-def _list(annotation: Any) -> Schema:
-    return {"type": "list", "items_schema": _schema(get_args(annotation)[0])}
+def _list_schema(annotation: Any) -> Schema:
+    return {"type": "list", "items_schema": _type_schema(get_args(annotation)[0])}
 
 
-def _dict(annotation: Any) -> Schema:
+def _dict_schema(annotation: Any) -> Schema:
     keys, values = get_args(annotation)
-    return {"type": "dict", "keys_schema": _schema(keys), "values_schema": _schema(values)}
+    return {
+        "type": "dict",
+        "keys_schema": _type_schema(keys),
+        "values_schema": _type_schema(values),
+    }
 
 
 _BY_ORIGIN: dict[Any, Callable[[Any], Schema]] = {
-    Annotated: _annotated,
-    Literal: _literal,
-    Union: _union,
-    types.UnionType: _union,
-    list: _list,
-    dict: _dict,
+    Annotated: _annotated_schema,
+    Literal: _literal_schema,
+    Union: _union_schema,
+    types.UnionType: _union_schema,
+    list: _list_schema,
+    dict: _dict_schema,
 }
--- a/packages/core/src/carobspool_core/records/_declaration.py
+++ b/packages/core/src/carobspool_core/records/_declaration.py
@@ -1,4 +1,4 @@
-"""How a model is declared: its base class, its fields, and what may be said of a field's values."""
+"""Declaration of models: the base class, fields, and constraints on their values."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 from msgspec import Struct
 
 REQUIRED = object()
-"""Default of a field that must be given."""
+"""Default that marks a field as required."""
 
 
 class Bounds(Struct, frozen=True, kw_only=True):
-    """Bounds of a value; ``None`` where there is none.
+    """Constraints on a value; ``None`` where there is none.
 
     Attributes:
-        gt: It is above this.
-        ge: It is at least this.
-        lt: It is below this.
-        le: It is at most this.
-        min_length: Least number of characters or elements.
+        gt: The value is greater than this.
+        ge: The value is greater than or equal to this.
+        lt: The value is less than this.
+        le: The value is less than or equal to this.
+        min_length: Smallest number of characters or elements.
         max_length: Largest number of characters or elements.
-        pattern: Regular expression that a text matches.
+        pattern: Regular expression that a string must match.
 
     Since 0.3.
     """
@@ -36,27 +36,29 @@
     pattern: str | None = None
 
     def given(self) -> dict[str, Any]:
-        """Return the bounds that there are, by name."""
+        """Return the bounds that are set, by name."""
         found = {name: getattr(self, name) for name in self.__struct_fields__}
         return {name: value for name, value in found.items() if value is not None}
 
 
 class ValidatedBy(Struct, frozen=True):
-    """A function that checks or converts a value; it raises ``ValueError`` with what is allowed.
+    """Validates a value with a function.
 
     Attributes:
-        function: The function.
-        when: ``plain`` in place of the type's own check, ``before`` or ``after`` it.
+        function: Returns the checked or converted value; raises ``ValueError`` with a text that
+            says which values are allowed.
+        mode: ``plain`` to run in place of the type's own check, ``before`` or ``after`` to run
+            before or after it.
 
     Since 0.3.
     """
 
     function: Callable[[Any], Any]
-    when: Literal["plain", "before", "after"] = "plain"
+    mode: Literal["plain", "before", "after"] = "plain"
 
 
 class UnionBy(Struct, frozen=True):
-    """Tells which member of a union is meant, by a field that has one literal in each of them.
+    """Selects the member of a union by a field that has a different literal in each member.
 
     Since 0.3.
     """
@@ -65,21 +67,22 @@
 
 
 class _JsonValue:
-    """Marks a value of any type that JSON has."""
+    """Type of `JSON_VALUE`."""
 
 
 JSON_VALUE = _JsonValue()
+"""Annotation of a field that holds any JSON value."""
 
 
 class Field(Struct, frozen=True, kw_only=True):
-    """What is declared of a field beside its type.
+    """Declaration of a field, apart from its type.
 
     Attributes:
-        bounds: Bounds of its value.
-        alias: Its name in what is read, if another one.
-        default: Value when it is left out; `REQUIRED` without one.
-        description: What it decides, for a reference page.
-        unit: Unit or kind of the value, likewise.
+        bounds: Constraints on the value.
+        alias: Name of the field in the input, if it differs.
+        default: Value of a field that is left out; `REQUIRED` if there is no default.
+        description: What the field controls, for the reference page.
+        unit: Unit or kind of the value, for the reference page.
 
     Since 0.3.
     """
@@ -92,7 +95,7 @@
 
     @property
     def required(self) -> bool:
-        """Whether it must be given."""
+        """Whether the field has no default."""
         return self.default is REQUIRED
 
 
@@ -104,14 +107,14 @@
     unit: str = "",
     **bounds: Any,
 ) -> Any:
-    """Return the declaration of a field, to stand where its default would.
+    """Return the declaration of a field, to be assigned in the class body in place of a default.
 
     Args:
-        alias: Its name in what is read, if another one.
-        default: Value when it is left out.
-        description: What it decides, for a reference page.
-        unit: Unit or kind of the value, likewise.
-        bounds: Its bounds, by the names of `Bounds`.
+        alias: Name of the field in the input, if it differs.
+        default: Value of a field that is left out.
+        description: What the field controls, for the reference page.
+        unit: Unit or kind of the value, for the reference page.
+        bounds: Constraints on the value, by the attribute names of `Bounds`.
 
     Since 0.3.
     """
@@ -123,7 +126,8 @@
 class Record:
     """Base of the models. Unknown keys are ignored, since other writers may add fields.
 
-    A subclass with ``unknown_keys="forbid"`` refuses them. What has been read is not changed.
+    A subclass with ``unknown_keys="forbid"`` refuses unknown keys. Attributes of a record cannot be
+    assigned.
 
     Since 0.3.
     """
@@ -141,14 +145,14 @@
             cls.unknown_keys = unknown_keys
 
     def __init__(self, **values: Any) -> None:
-        """Take values that are known to be valid; fields left out have their defaults."""
+        """Set the fields without validation; fields that are left out get their defaults."""
         for name, (_, declared) in fields_of(type(self)).items():
             if name not in values and declared.required:
                 raise TypeError(f"{type(self).__name__} needs {name}")
             self.__dict__[name] = values[name] if name in values else copy(declared.default)
 
     def __setattr__(self, name: str, value: Any) -> NoReturn:
-        raise AttributeError(f"{type(self).__name__} cannot be changed")
+        raise AttributeError(f"{type(self).__name__} is immutable")
 
     def __repr__(self) -> str:
         values = ", ".join(f"{name}={value!r}" for name, value in self.__dict__.items())
@@ -156,7 +160,7 @@
 
 
 def fields_of(model: type[Record]) -> Mapping[str, tuple[Any, Field]]:
-    """Return a model's fields by name, each with its type.
+    """Return a model's fields by name, each as its type and its declaration.
 
     Since 0.3.
     """
--- a/packages/core/src/carobspool_core/records/_reading.py
+++ b/packages/core/src/carobspool_core/records/_reading.py
@@ -1,4 +1,4 @@
-"""Reading of a value by its model."""
+"""Validation of JSON values against models."""
 
 from __future__ import annotations
 
@@ -20,71 +20,74 @@
 def validate(
     model: type[AnyRecord], value: Json, *, file: str = ""
 ) -> Result[AnyRecord, tuple[Problem, ...]]:
-    """Check a JSON value against a model.
+    """Validate a JSON value against a model.
 
     Args:
         model: The model.
-        value: What was read.
-        file: Name that the problems show.
+        value: The JSON value.
+        file: File name that the problems show.
+
+    Returns:
+        The record, or every problem that was found.
 
     Since 0.3.
     """
     try:
         return Success(_validator(model).validate_python(value))
     except ValidationError as error:
-        return Failure(_problems(model, error, file))
+        return Failure(_problems_of(model, error, file))
 
 
 def read_record(model: type[AnyRecord], value: Json) -> AnyRecord:
-    """Check a record of another writer.
+    """Validate a record that another process wrote, and return it.
 
     Args:
         model: The model.
-        value: What was read.
+        value: The record as JSON.
 
     Raises:
-        UnusableRecordError: It is not one.
+        UnusableRecordError: The value does not match the model.
 
     Since 0.2.
     """
     try:
-        found: AnyRecord = _validator(model).validate_python(value)
+        record: AnyRecord = _validator(model).validate_python(value)
     except ValidationError as error:
-        raise UnusableRecordError(_problems(model, error, "")) from error
-    return found
+        raise UnusableRecordError(_problems_of(model, error, "")) from error
+    return record
 
 
 def _validator(model: type[Record]) -> SchemaValidator:
-    found = _VALIDATORS.get(model)
-    if found is None:
-        # Two threads may both build it; either result serves.
-        found = _VALIDATORS[model] = SchemaValidator(schema_of(model))
-    return found
+    validator = _VALIDATORS.get(model)
+    if validator is None:
+        # Two threads may both build the validator; either instance may be used.
+        validator = _VALIDATORS[model] = SchemaValidator(schema_of(model))
+    return validator
 
 
-def _problems(model: type[Record], error: ValidationError, file: str) -> tuple[Problem, ...]:
-    def known_keys(place: Sequence[str | int]) -> Sequence[str]:
-        return _keys_at(model, place)
+def _problems_of(model: type[Record], error: ValidationError, file: str) -> tuple[Problem, ...]:
+    def known_keys(location: Sequence[str | int]) -> Sequence[str]:
+        return _keys_at(model, location)
 
     details = error.errors(include_url=False)
     return tuple(describe_problem(dict(each), file, known_keys) for each in details)
 
 
-def _keys_at(model: type[Record], place: Sequence[str | int]) -> Sequence[str]:
+def _keys_at(model: type[Record], location: Sequence[str | int]) -> Sequence[str]:
     owner: type[Record] | None = model
-    for part in place:
+    for part in location:
         if isinstance(part, int) or owner is None:
             continue
         declared = fields_of(owner).get(part)
-        owner = _model_in(declared[0]) if declared else None
+        owner = _model_in_annotation(declared[0]) if declared else None
     return sorted(fields_of(owner)) if owner is not None else ()
 
 
-def _model_in(annotation: object) -> type[Record] | None:
+def _model_in_annotation(annotation: object) -> type[Record] | None:
     if isinstance(annotation, type) and issubclass(annotation, Record):
         return annotation
     for argument in get_args(annotation):
-        found = _model_in(argument)
+        found = _model_in_annotation(argument)
         if found is not None:
             return found
     return None
