--- a/packages/core/tests/test_records.py
+++ b/packages/core/tests/test_records.py
@@ -1,4 +1,4 @@
-"""Models of `carobspool_core.records`."""
+"""Tests of `carobspool_core.records`."""
 
 from __future__ import annotations
 
@@ -93,7 +93,10 @@
 
 @given(_RECORDS | _VALUES, st.integers(-1, 10), st.sampled_from(["a", "b", "c"]))
 def test_records_refuse_what_declared_files_refuse(drawn: Any, count: int, kind: str) -> None:
-    """Two ways of validation that differ would take from a peer what a file may not hold."""
+    """Records and `border` models accept the same values and report the same problems.
+
+    Otherwise an entry would accept values from a peer that are invalid in a file.
+    """
     value = {"count": count, "kind": kind, **drawn} if isinstance(drawn, dict) else drawn
     found, expected = validate(_OuterRecord, value), border.validate(_OuterModel, value)
     assert is_successful(found) == is_successful(expected)
@@ -104,15 +107,15 @@
     read, model = found.unwrap(), expected.unwrap()
     for name in _OuterModel.model_fields:
         if name != "inner":
-            assert _same(getattr(read, name), getattr(model, name))
+            assert _equal_with_type(getattr(read, name), getattr(model, name))
 
 
-def _same(one: Any, other: Any) -> bool:
+def _equal_with_type(one: Any, other: Any) -> bool:
     return type(one) is type(other) and (one == other or repr(one) == repr(other))
 
 
-def test_a_field_says_what_is_unusable() -> None:
-    """A checking function's words reach the reader of the log, with the place."""
+def test_error_contains_the_message_of_the_validating_function() -> None:
+    """The error has the path of the field and the message that the function raised."""
 
     class Sized(Record):
         size: Annotated[int, ValidatedBy(_even)]
@@ -136,15 +139,15 @@
     call: Annotated[_Get | _Put, UnionBy("op")]
 
 
-def test_a_union_is_told_apart_by_a_field() -> None:
-    """A call with another call's fields is refused, not read as that one."""
+def test_a_union_member_is_selected_by_a_field() -> None:
+    """A call with the fields of another kind of call is refused, not read as the other kind."""
     assert isinstance(read_record(_Call, {"call": {"op": "put", "value": 1}}).call, _Put)
     with pytest.raises(UnusableRecordError):
         read_record(_Call, {"call": {"op": "get", "value": 1}})
 
 
-def test_records_share_no_default_and_cannot_be_changed() -> None:
-    """A list that all records share would carry one peer's rows into the next one's."""
+def test_records_share_no_default_and_are_immutable() -> None:
+    """With a shared default list, rows of one peer's record would appear in the next record."""
     first = read_record(_OuterRecord, {"count": 1, "kind": "a"})
     first.rows.append([1])
     assert read_record(_OuterRecord, {"count": 1, "kind": "a"}).rows == []
@@ -152,15 +155,15 @@
         first.count = 2  # type: ignore[misc]
 
 
-def test_numbers_are_finite() -> None:
-    """NaN passes every comparison that follows."""
+def test_nan_and_infinity_are_refused() -> None:
+    """A NaN would pass every later range check."""
     for value in (math.nan, math.inf):
         with pytest.raises(UnusableRecordError):
             read_record(_InnerRecord, {"name": "a", "share": value})
 
 
-def test_a_record_made_in_code_has_its_defaults() -> None:
-    """A field that was left out would read as its declaration."""
+def test_a_record_built_in_code_has_its_defaults() -> None:
+    """Without defaults, a field that is left out would return its declaration object."""
     made = _OuterRecord(count=1, kind="a")
     assert (made.rows, made.limit, made.node) == ([], None, "x")
     made.rows.append([1])
--- a/packages/core/tests/test_revision.py
+++ b/packages/core/tests/test_revision.py
@@ -43,7 +43,7 @@
 
 @given(states)
 def test_parts_join_to_the_same_state(state: DesiredState) -> None:
-    """A state cut into parts, shipped and put together is the same."""
+    """A state that is split into parts, encoded, decoded and joined is unchanged."""
     parts: dict[str, Part] = {}
     for part in split(state).unwrap().values():
         parts[part.name] = decode_part(part.name, part.digest, part.value).unwrap()
@@ -51,23 +51,23 @@
 
 
 @given(states, states, states)
-def test_rebase_keeps_both_sides_or_names_the_clash(
+def test_rebase_merges_both_sides_or_returns_the_conflicts(
     base: DesiredState, mine: DesiredState, head: DesiredState
 ) -> None:
-    """Every change of both sides is in the merged state, unless both changed one entry apart."""
+    """The merged state has the changes of both sides, unless they changed an entry differently."""
     ours = {(each.section, each.name): each.after for each in diff(base, mine)}
     theirs = {(each.section, each.name): each.after for each in diff(base, head)}
-    apart = {key for key in ours.keys() & theirs.keys() if ours[key] != theirs[key]}
+    conflicting = {key for key in ours.keys() & theirs.keys() if ours[key] != theirs[key]}
     result = rebase(base, mine, head)
-    if apart:
-        assert {(each.mine.section, each.mine.name) for each in result.failure()} == apart
+    if conflicting:
+        assert {(each.mine.section, each.mine.name) for each in result.failure()} == conflicting
         return
     merged = {(each.section, each.name): each.after for each in diff(base, result.unwrap())}
     assert merged == ours | theirs
 
 
 def test_a_change_of_one_entry_changes_one_part() -> None:
-    """Parts without a change keep their digest, and are not written again."""
+    """Parts without a change are reused and not encoded again."""
     before = split(state_of({f"o{number}": 1.0 for number in range(500)})).unwrap()
     changed = state_of({f"o{number}": 1.0 for number in range(500)} | {"o7": 9.0})
     after = split(changed, before).unwrap()
@@ -76,14 +76,14 @@
 
 @pytest.mark.parametrize("value", ["", "@@", "eJwDAAAAAAE="])
 def test_a_damaged_part_is_refused(value: str) -> None:
-    """A part whose content is not what its digest names is never taken."""
+    """A part is refused if it cannot be decoded or does not match its digest."""
     part = split(state_of({"a": 1.0})).unwrap()["batch"]
     assert decode_part(part.name, part.digest, value).failure().part == "batch"
     assert "not ffff" in decode_part(part.name, "ffff", part.value).failure().detail
 
 
-def test_too_large_a_part_is_refused() -> None:
-    """A part over the platform's limit is an error before anything is written."""
+def test_an_oversized_part_is_refused() -> None:
+    """Splitting a state fails if a part exceeds the platform's limit, before anything is stored."""
     hashes = tuple(f"{number:064x}"[::-1] for number in range(40_000))
     caller = Caller(id="x", organisation="o", key_hashes=hashes)
     state = DesiredState(callers={"x": caller})
@@ -94,7 +94,7 @@
 
 
 def test_summary_names_each_change() -> None:
-    """Additions, removals and changed fields are told in words; key hashes are not."""
+    """The summary lists added and removed entries and changed fields."""
     lines = summarise(diff(state_of({"a": 1.0, "b": 1.0}), state_of({"a": 2.0, "c": 1.0})))
     assert lines == (
         "organisations/a: weight 1.0 -> 2.0",
@@ -103,8 +103,8 @@
     )
 
 
-def test_revision_survives_its_storage() -> None:
-    """A stored revision reads back with its changes, and tells them to the audit trail."""
+def test_stored_revision_reads_back_unchanged() -> None:
+    """A stored revision reads back with its changes, and its audit record contains them."""
     changes = diff(state_of({"a": 1.0}), state_of({"a": 2.0}))
     revision = Revision(
         number=3,
@@ -127,8 +127,8 @@
     assert revision_from_json({"number": 0}).failure().detail
 
 
-def test_change_of_a_single_section_has_its_name() -> None:
-    """A section with one entry is named by itself."""
+def test_change_in_a_single_entry_section_is_named_after_the_section() -> None:
+    """The entry of such a section has no name of its own."""
     (change,) = diff(state_of({}, 1.1), state_of({}, 1.2))
     assert isinstance(change, Change)
     assert (change.section, change.subject) == (Section.ONLINE_SLOWDOWN, "online_slowdown")
--- a/packages/core/tests/test_schema.py
+++ b/packages/core/tests/test_schema.py
@@ -1,4 +1,4 @@
-"""Tests of the desired state at the border."""
+"""Tests of reading and validating the desired state."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 from carobspool_core.schema import ConfigError, dump_state, load_folder, parse_state
 
-HASH = "a" * 64
+KEY_HASH = "a" * 64
 
 
-def whole() -> dict[str, Any]:
+def valid_state() -> dict[str, Any]:
     """Return a small valid state as JSON."""
     return {
         "organisations": [{"name": "press", "weight": 2}],
@@ -21,7 +21,7 @@
             {
                 "id": "editor",
                 "organisation": "press",
-                "key_hashes": [HASH],
+                "key_hashes": [KEY_HASH],
                 "role": "operator",
             }
         ],
@@ -39,31 +39,31 @@
     }
 
 
-def errors_of(value: Any) -> tuple[ConfigError, ...]:
+def parse_errors(value: Any) -> tuple[ConfigError, ...]:
     """Return the errors of a refused state."""
     return parse_state(value).failure()
 
 
 def test_dumped_state_parses_to_itself() -> None:
-    """Writing a state and reading it again changes nothing."""
-    state = parse_state(whole(), revision=7).unwrap()
+    """A state that is dumped as JSON parses to an equal state."""
+    state = parse_state(valid_state(), revision=7).unwrap()
     again = parse_state(json.loads(json.dumps(dump_state(state))), revision=7).unwrap()
     assert again == state
     assert (state.revision, state.batch.chunk_items) == (7, 64)
     assert state.services["orders"].routes[0].timeout == 5
 
 
-def test_files_of_a_folder_are_one_unit(tmp_path: Path) -> None:
-    """Sections may be spread over files with comments, and refer to each other across them."""
-    parts = whole()
+def test_files_of_a_folder_form_one_state(tmp_path: Path) -> None:
+    """Sections may be in several files with comments, and refer to entries of other files."""
+    parts = valid_state()
     for section, value in parts.items():
         text = f"// {section}\n" + json.dumps({section: value})
         (tmp_path / f"{section}.json").write_text(text)
     assert load_folder(tmp_path).unwrap() == parse_state(parts).unwrap()
 
 
-def test_every_error_comes_at_once(tmp_path: Path) -> None:
-    """Each error names its file, path, what was found and what is allowed."""
+def test_all_errors_are_returned_together(tmp_path: Path) -> None:
+    """Each error names its file and path, the value found and the values allowed."""
     (tmp_path / "a.json").write_text('{"models": [{"name": "m", "version": 3}],\n "extra": 1}')
     (tmp_path / "b.json").write_text('{"batch": {"chunk_items": 0}}')
     (tmp_path / "c.json").write_text('{\n"batch": {,}}')
@@ -88,7 +88,7 @@
         ),
         (
             "callers",
-            {"id": "x", "organisation": "press", "key_hashes": [HASH]},
+            {"id": "x", "organisation": "press", "key_hashes": [KEY_HASH]},
             "callers[1].key_hashes[0]",
             "a key hash again",
         ),
@@ -123,30 +123,30 @@
         ),
     ],
 )
-def test_references_and_duplicates(
+def test_duplicates_and_unknown_references_are_refused(
     section: str, entry: dict[str, Any], path: str, found: str
 ) -> None:
-    """A name used twice and a reference that leads nowhere are refused with their place."""
-    value = whole()
+    """The error of a duplicate name or of an unknown reference has the path of the entry."""
+    value = valid_state()
     value[section].append(entry)
-    (error,) = errors_of(value)
+    (error,) = parse_errors(value)
     assert error.path == path
     assert found in error.found
 
 
 def test_a_key_in_place_of_its_hash_is_not_shown() -> None:
-    """An error about a key hash does not repeat what stood there."""
-    value = whole()
+    """An error about a key hash does not contain the value, which may be a plain key."""
+    value = valid_state()
     value["callers"][0]["key_hashes"] = ["secret-key"]
-    (error,) = errors_of(value)
+    (error,) = parse_errors(value)
     assert "secret" not in str(error)
 
 
 def test_a_state_without_operator_is_refused() -> None:
-    """A state that would lock every operator out is never accepted."""
-    value = whole()
+    """Without an operator, nobody could replace the state."""
+    value = valid_state()
     value["callers"][0]["role"] = "caller"
-    (error,) = errors_of(value)
+    (error,) = parse_errors(value)
     assert (error.path, error.found) == ("callers", "no caller with the role 'operator'")
 
 
@@ -156,18 +156,18 @@
     assert error.found == "no file *.json"
 
 
-def test_places_in_a_long_section_are_those_of_the_whole() -> None:
-    """Long sections are validated piece by piece, and errors count from the section's start."""
-    value = whole()
+def test_errors_in_a_long_section_have_indices_of_the_whole_section() -> None:
+    """Long sections are validated in pieces, but indices count from the start of the section."""
+    value = valid_state()
     value["models"] += [{"name": f"m{number}", "version": "1"} for number in range(1300)]
     assert len(parse_state(value).unwrap().models) == 1301
     value["models"][1200]["version"] = 1
     value["models"][700] |= {"adapters": ["a", 7]}
-    assert [error.path for error in errors_of(value)] == [
+    assert [error.path for error in parse_errors(value)] == [
         "models[700].adapters[1]",
         "models[1200].version",
     ]
     del value["models"][1200], value["models"][700]
     value["models"].append({"name": "m650", "version": "1"})
-    (error,) = errors_of(value)
+    (error,) = parse_errors(value)
     assert (error.path, "models[651].name" in error.allowed) == ("models[1299].name", True)
