--- a/packages/core/src/carobspool_core/revision/__init__.py
+++ b/packages/core/src/carobspool_core/revision/__init__.py
@@ -28,7 +28,7 @@
     revision_from_json,
     revision_to_json,
 )
-from carobspool_core.revision._sections import SHARDS, Entry, Section, part_name
+from carobspool_core.revision._sections import SHARDS, Section, StateEntry, part_name
 
 __all__ = [
     "MAX_PART_VALUE_CHARS",
@@ -36,7 +36,6 @@
     "Change",
     "Clash",
     "Delta",
-    "Entry",
     "Part",
     "PartError",
     "Parts",
@@ -44,6 +43,7 @@
     "Revision",
     "RevisionError",
     "Section",
+    "StateEntry",
     "decode_part",
     "delta_between",
     "diff",
--- a/packages/core/src/carobspool_core/revision/_diff.py
+++ b/packages/core/src/carobspool_core/revision/_diff.py
@@ -11,8 +11,8 @@
 from carobspool_core._ports import Json
 from carobspool_core.revision._sections import (
     Entries,
-    Entry,
     Section,
+    StateEntry,
     entries_of,
     state_from_sections,
 )
@@ -40,8 +40,8 @@
 
     section: Section
     name: str
-    before: Entry | None
-    after: Entry | None
+    before: StateEntry | None
+    after: StateEntry | None
 
     @property
     def subject(self) -> str:
--- a/packages/core/src/carobspool_core/revision/_parts.py
+++ b/packages/core/src/carobspool_core/revision/_parts.py
@@ -75,13 +75,13 @@
 
 
 def split(
-    state: DesiredState, known: Parts | None = None
+    state: DesiredState, previous: Parts | None = None
 ) -> Result[dict[str, Part], tuple[PartError, ...]]:
     """Split a state into parts.
 
     Args:
         state: The state.
-        known: Parts of another state; those with equal entries are reused, which avoids encoding
+        previous: Parts of another state; those with equal entries are reused, which avoids encoding
             and compressing them again.
 
     Returns:
@@ -92,7 +92,7 @@
     parts: dict[str, Part] = {}
     errors: list[PartError] = []
     for name, entries in _entries_by_part(state).items():
-        existing = known.get(name) if known else None
+        existing = previous.get(name) if previous else None
         if existing is not None and existing.entries == entries:
             parts[name] = existing
             continue
--- a/packages/core/src/carobspool_core/revision/_sections.py
+++ b/packages/core/src/carobspool_core/revision/_sections.py
@@ -33,7 +33,9 @@
 SINGLE_ENTRY_NAME = ""
 """Name of the entry in a section that has a single entry."""
 
-Entry = Organisation | Caller | Model | Upstream | Service | BatchShaping | OnlineSlowdown
+StateEntry = Organisation | Caller | Model | Upstream | Service | BatchShaping | OnlineSlowdown
+"""An entry of a section of the desired state."""
+
 Entries = Mapping[str, Any]
 """Entries of a part or section by name."""
 
@@ -62,7 +64,7 @@
     """
 
     model: type[BorderModel]
-    convert: Callable[[Any], Entry]
+    convert: Callable[[Any], StateEntry]
     name: Callable[[Any], str]
     sharded: bool = False
 
