--- a/packages/core/src/carobspool_core/schema/_check.py
+++ b/packages/core/src/carobspool_core/schema/_check.py
@@ -59,9 +59,10 @@
 
 
 def check_sources(sources: Sequence[Source]) -> tuple[Problem, ...]:
-    """Return every problem that shows only across files.
+    """Return every problem that the validation of single fields does not find.
 
-    These are duplicate names, references to undeclared names, and a state without an operator.
+    These are duplicate names, references to undeclared names, upstreams whose fields contradict
+    their kind, and a state without an operator.
     """
     index = _Index()
     for source in sources:
