--- a/packages/core/src/carobspool_core/_item_retry.py
+++ b/packages/core/src/carobspool_core/_item_retry.py
@@ -1,4 +1,4 @@
-"""What becomes of a batch item after one attempt: a result, or another attempt later."""
+"""Decides whether a batch item is retried after an attempt or the outcome is its result."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 PREEMPTED = "preempted"
 FIRST_BACKOFF: Millis = 200.0
-LONGEST_BACKOFF: Millis = 5_000.0
+MAX_BACKOFF: Millis = 5_000.0
 
-_TRANSIENT = frozenset(
+_TRANSIENT_STATUSES = frozenset(
     {
         HTTPStatus.REQUEST_TIMEOUT,
         HTTPStatus.TOO_MANY_REQUESTS,
@@ -33,7 +33,7 @@
         status: HTTP status of the upstream's answer, 0 without one.
         body: The answer's body.
         request_id: Id of the attempt, for support.
-        failure: Why there is no whole answer; ``None`` after one.
+        failure: Why the answer is missing or incomplete; ``None`` after a complete answer.
     """
 
     status: int = 0
@@ -44,10 +44,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ItemRetry:
-    """Try again.
+    """The decision to retry an item.
 
     Attributes:
-        delay: Time to wait first, in milliseconds.
+        delay: Time to wait before the retry, in milliseconds.
         counted: Whether the attempt counts towards the item's limit.
     """
 
@@ -58,23 +58,23 @@
 def item_retry(
     item: BatchItem, outcome: ItemOutcome, *, attempts: int, max_attempts: int
 ) -> ItemRetry | None:
-    """Return how to go on with an item, ``None`` if the outcome is its result.
+    """Return how to retry an item, or ``None`` if the outcome is its result.
 
-    Only what was not run is repeated freely. A non-idempotent item that may have run ends as an
-    error. An item that fails at every upstream, or breaks each one that runs it, ends as an error
-    after ``max_attempts``, so that its job still ends.
+    Attempts that did not run are repeated without limit. A non-idempotent item that may have run
+    ends as an error. An item that fails at every upstream, or crashes every upstream that runs it,
+    ends as an error after ``max_attempts``, so that its job still completes.
 
     Args:
         item: The item.
         outcome: How the attempt ended.
-        attempts: Counted attempts, this one included.
+        attempts: Number of counted attempts, including this one.
         max_attempts: Limit of counted attempts.
     """
     failure = outcome.failure
     if failure is None:
-        if outcome.status not in _TRANSIENT or not item.idempotent:
+        if outcome.status not in _TRANSIENT_STATUSES or not item.idempotent:
             return None
-        return _counted(attempts, max_attempts)
+        return _counted_retry(attempts, max_attempts)
     if failure.outcome is Outcome.NOT_RUN:
         if failure.retry_after_ms is None:
             return None
@@ -83,11 +83,11 @@
         return None
     if failure.code == PREEMPTED:
         return ItemRetry(delay=0.0, counted=False)
-    return _counted(attempts, max_attempts)
+    return _counted_retry(attempts, max_attempts)
 
 
-def _counted(attempts: int, max_attempts: int) -> ItemRetry | None:
+def _counted_retry(attempts: int, max_attempts: int) -> ItemRetry | None:
     if attempts >= max_attempts:
         return None
     delay = FIRST_BACKOFF * 2.0 ** (attempts - 1)
-    return ItemRetry(delay=min(delay, LONGEST_BACKOFF), counted=True)
+    return ItemRetry(delay=min(delay, MAX_BACKOFF), counted=True)
--- a/packages/core/src/carobspool_core/_retry.py
+++ b/packages/core/src/carobspool_core/_retry.py
@@ -1,8 +1,8 @@
-"""Whether a failed attempt is tried again at another upstream.
+"""Decides whether a failed attempt is retried at another upstream.
 
-Load pattern: failures that come in masses, when upstreams are lost or full. Without a budget each
-caller's request becomes three, just when capacity is short, and the overload keeps itself up after
-its cause has gone. Without the outcome a request that must not run twice runs twice.
+Load pattern: many failures at once, when upstreams are lost or full. Without a retry budget each
+request becomes three just when capacity is short, and the overload outlasts its cause. Without
+regard to the outcome, a request that must not run twice could run twice.
 """
 
 from __future__ import annotations
@@ -13,27 +13,28 @@
 from carobspool_core._clock import Clock, Millis
 from carobspool_core._outcome import Failure, Outcome
 
-_RETRIED_TYPES = frozenset({"unavailable_error", "upstream_error", "rate_limit_error"})
+_RETRYABLE_TYPES = frozenset({"unavailable_error", "upstream_error", "rate_limit_error"})
 _OVERLOAD_TYPE = "rate_limit_error"
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RetrySettings:
-    """Figures of the retry policy.
+    """Parameters of the retry policy.
 
     Attributes:
-        budget: Retries allowed for each request. At 0.1 retries add a tenth to the load at most,
-            which an overloaded pool survives; at 1.0 a lost third of the upstreams doubles it.
-        reserve: Retries allowed at once after a quiet time, so that a site with a few requests a
-            minute can retry at all; the budget never holds more.
-        max_attempts: Attempts of one request: with a third of the upstreams lost and not yet
-            known, three fail together in 1 of 27.
-        overload_share: Overload refusals for each request above which nothing is retried. A single
-            full upstream of 24 refuses far less, a full pool nearly all.
-        half_life: Half-life of the counts behind that share.
-        min_refusals: Overload refusals below which the share means nothing.
-        first_delay: Upper end of the random delay before the first retry; doubles for each more.
-        max_delay: Upper bound of that delay.
+        budget: Retries earned by each request. At 0.1, retries add at most a tenth to the load,
+            which an overloaded pool can bear. At 1.0, the loss of a third of the upstreams doubles
+            the load.
+        reserve: Maximum of the budget: the retries allowed at once after a quiet period. It lets
+            a site with a few requests a minute retry at all.
+        max_attempts: Maximum number of attempts of one request. While a third of the upstreams is
+            lost but not yet detected, three attempts all fail for 1 in 27 requests.
+        overload_share: Overload refusals per request above which nothing is retried. One full
+            upstream of 24 refuses far fewer requests, a full pool nearly all.
+        half_life: Half-life of the request and refusal counts.
+        min_refusals: Overload refusals below which their share is not meaningful.
+        first_delay: Maximum of the random delay before the first retry; doubles with each retry.
+        max_delay: Upper bound of that maximum.
     """
 
     budget: float = 0.1
@@ -47,33 +48,42 @@
 
 
 class RetryPolicy:
-    """Budget and overload memory of one pool at one entry.
+    """Retry budget and overload detection of one pool at one entry.
 
     Since 0.1.
     """
 
-    __slots__ = ("_clock", "_decayed_at", "_refusals", "_requests", "_settings", "_tokens")
+    __slots__ = (
+        "_available_retries",
+        "_clock",
+        "_decayed_at",
+        "_refusals",
+        "_requests",
+        "_settings",
+    )
 
     def __init__(self, clock: Clock, settings: RetrySettings) -> None:
         self._clock = clock
         self._settings = settings
-        self._tokens = settings.reserve
+        self._available_retries = settings.reserve
         self._requests = 0.0
         self._refusals = 0.0
         self._decayed_at = clock.now()
 
     @property
     def overloaded(self) -> bool:
-        """Whether the pool refuses so much that retries would only add to it."""
+        """Whether the pool refuses so many requests that retries would add to the overload."""
         if self._refusals < self._settings.min_refusals:
             return False
         return self._refusals > self._settings.overload_share * self._requests
 
     def request(self) -> None:
-        """Count a first attempt; each earns a part of a retry."""
+        """Count a first attempt, which earns a fraction of a retry."""
         self._decay(self._clock.now())
         self._requests += 1.0
-        self._tokens = min(self._settings.reserve, self._tokens + self._settings.budget)
+        self._available_retries = min(
+            self._settings.reserve, self._available_retries + self._settings.budget
+        )
 
     def may_retry(
         self,
@@ -84,63 +94,64 @@
         bytes_sent_to_caller: bool,
         now: Millis,
     ) -> bool:
-        """Return whether to try again; a yes takes from the budget.
+        """Return whether to retry, and consume one retry of the budget if so.
 
         Args:
             failure: How the attempt ended.
-            idempotent: Whether running it twice is harmless.
+            idempotent: Whether running the request twice is harmless.
             attempt: Number of the failed attempt, from 1.
-            deadline: Instant after which the caller has no use for the answer.
-            bytes_sent_to_caller: Whether the caller has seen a part of the answer.
-            now: The instant.
+            deadline: Time after which the caller has no use for the answer.
+            bytes_sent_to_caller: Whether the caller has received a part of the answer.
+            now: The current time.
         """
         self._decay(now)
         if failure.type == _OVERLOAD_TYPE:
             self._refusals += 1.0
-        if bytes_sent_to_caller or not _is_safe(failure, idempotent):
+        if bytes_sent_to_caller or not _is_safe_to_retry(failure, idempotent):
             return False
         if attempt >= self._settings.max_attempts or self.overloaded:
             return False
-        if now + self._longest_delay(attempt) >= deadline:
+        if now + self._max_delay(attempt) >= deadline:
             return False
-        if self._tokens < 1.0:
+        if self._available_retries < 1.0:
             return False
-        self._tokens -= 1.0
+        self._available_retries -= 1.0
         return True
 
     def delay(self, attempt: int, rng: Random) -> Millis:
-        """Return how long to wait before the retry that follows ``attempt``.
+        """Return the delay before the retry that follows ``attempt``.
 
-        The whole delay is random: equal delays would bring all the requests of a lost upstream to
-        the others at one instant.
+        The whole delay is random (full jitter): equal delays would send all requests of a lost
+        upstream to the others at the same time.
         """
-        return rng.random() * self._longest_delay(attempt)
+        return rng.random() * self._max_delay(attempt)
 
-    def come_back(self, failure: Failure, rng: Random) -> Millis | None:
-        """Return when a caller may come back after its final failure, ``None`` if pointless.
+    def retry_after(self, failure: Failure, rng: Random) -> Millis | None:
+        """Return when a caller may retry after its final failure, ``None`` if that is pointless.
 
-        Spread over 1 to 1.5 times, and doubled while the pool is overloaded.
+        The failure's ``retry_after_ms`` is doubled while the pool is overloaded, and multiplied by
+        a random factor of 1 to 1.5.
         """
         if failure.retry_after_ms is None:
             return None
         base = failure.retry_after_ms * (2.0 if self.overloaded else 1.0)
         return base * (1.0 + 0.5 * rng.random())
 
-    def _longest_delay(self, attempt: int) -> Millis:
+    def _max_delay(self, attempt: int) -> Millis:
         return min(self._settings.max_delay, self._settings.first_delay * 2.0 ** (attempt - 1))
 
     def _decay(self, now: Millis) -> None:
-        passed = now - self._decayed_at
-        if passed <= 0.0:
+        elapsed = now - self._decayed_at
+        if elapsed <= 0.0:
             return
-        factor = 0.5 ** (passed / self._settings.half_life)
+        factor = 0.5 ** (elapsed / self._settings.half_life)
         self._requests *= factor
         self._refusals *= factor
         self._decayed_at = now
 
 
-def _is_safe(failure: Failure, idempotent: bool) -> bool:
-    if failure.type not in _RETRIED_TYPES:
+def _is_safe_to_retry(failure: Failure, idempotent: bool) -> bool:
+    if failure.type not in _RETRYABLE_TYPES:
         return False
     return failure.outcome is Outcome.NOT_RUN or idempotent
 
@@ -150,7 +161,7 @@
 
     Args:
         clock: The process's clock.
-        settings: Figures of the policy.
+        settings: Parameters of the policy; the defaults if omitted.
 
     Since 0.1.
     """
--- a/packages/core/tests/test_retry.py
+++ b/packages/core/tests/test_retry.py
@@ -79,5 +79,5 @@
     delays = [policy.delay(attempt, rng) for attempt in (1, 2, 9) for _ in range(50)]
     assert len(set(delays)) == 150
     assert min(delays) >= 0.0 and max(delays) <= 500.0
-    wait = policy.come_back(FULL, rng)
+    wait = policy.retry_after(FULL, rng)
     assert wait is not None and 1_000.0 <= wait <= 1_500.0
