--- a/packages/core/src/carobspool_core/_suspect_gate.py
+++ b/packages/core/src/carobspool_core/_suspect_gate.py
@@ -1,9 +1,9 @@
-"""The sidecar's side of isolation: one suspect at its upstream at a time.
+"""Isolation of suspects at the sidecar: its upstream runs one suspect at a time.
 
-Load pattern: an upstream with many requests in flight crashes, all become suspects, and all entries
-retry theirs at once. Entries know of each other's suspects with a lag, so two may send to the same
-upstream; if one of them crashes it, both would count as culprits. The sidecar sees all requests of
-its upstream, so its answer has no lag.
+Load pattern: an upstream with many requests in flight crashes, all of them become suspects, and all
+entries retry theirs at once. Entries learn of each other's suspects with a delay, so two entries
+may send suspects to the same upstream. If one of these crashes the upstream, both would count as
+culprits. The sidecar sees all requests of its upstream, so its decision has no delay.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 from carobspool_core._outcome import Failure, unavailable
 
 GATE_RETRY_AFTER: Millis = 1_000.0
-"""When to come back while another suspect runs here; another upstream may be free at once."""
+"""Retry delay while another suspect runs here. Another upstream may be free at once."""
 
 
 class SuspectGate:
-    """Which suspect runs at this sidecar's upstream.
+    """Admits one suspect at a time to this sidecar's upstream.
 
     Since 0.1.
     """
@@ -29,7 +29,11 @@
         self._running: Hashable | None = None
 
     def enter(self, id: Hashable) -> Failure | None:
-        """Let a suspect in, or return the failure (503, not run) when another is running."""
+        """Admit a suspect.
+
+        Returns:
+            ``None``, or a failure (503, not run) if another suspect is running.
+        """
         if self._running is not None and self._running != id:
             message = "another suspected request runs at this upstream"
             return unavailable("fellow_suspect", message, retry_after_ms=GATE_RETRY_AFTER)
@@ -37,7 +41,7 @@
         return None
 
     def leave(self, id: Hashable) -> None:
-        """Note that a request ended, whether or not it was a suspect."""
+        """Record the end of a request; call this method for every request, suspect or not."""
         if self._running == id:
             self._running = None
 
--- a/packages/core/src/carobspool_core/_suspect_queue.py
+++ b/packages/core/src/carobspool_core/_suspect_queue.py
@@ -1,8 +1,9 @@
-"""Requests suspected of crashing upstreams, which never run two at a time.
+"""Queue of the requests suspected of crashing upstreams, which run one at a time.
 
-Load pattern: a request crashes each upstream that runs it, and its caller sends it again. Run
-beside another suspect, a crash would not tell which of the two it was, and the innocent one would
-be quarantined too. With one at a time, what was running at two crashes is the culprit.
+Load pattern: a request crashes each upstream that runs it, and its caller resends it. If two
+suspects ran at the same upstream, a crash would not tell which of them caused it, and the innocent
+one would be quarantined too. With one suspect at a time, the suspect that runs at two crashes is
+the culprit.
 """
 
 from __future__ import annotations
@@ -15,10 +16,10 @@
 
 
 class SuspectQueue:
-    """Suspects that wait, in order of arrival.
+    """Queued suspects, in order of arrival.
 
     Args:
-        bound: How many may wait.
+        bound: Maximum number of queued suspects.
     """
 
     def __init__(self, bound: int) -> None:
@@ -30,26 +31,26 @@
 
     @property
     def cost(self) -> int:
-        """Estimated tokens of all that wait."""
+        """Estimated tokens of all queued suspects."""
         return sum(waiting.work.cost_tokens for waiting in self._waiting.values())
 
     def push(self, waiting: Waiting) -> bool:
-        """Queue a suspect; tell whether there was room."""
+        """Queue a suspect and return ``True``; return ``False`` if the queue is full."""
         if len(self._waiting) >= self._bound:
             return False
         self._waiting[waiting.work.id] = waiting
         return True
 
     def put_back(self, waiting: Waiting) -> None:
-        """Queue a preempted suspect before the others."""
+        """Queue a preempted suspect at the head."""
         self._waiting[waiting.work.id] = waiting
         self._waiting.move_to_end(waiting.work.id, last=False)
 
     def pop(self, *, batch: bool) -> Waiting | None:
-        """Take the next suspect, or ``None``.
+        """Remove and return the next suspect, or return ``None``.
 
         Args:
-            batch: Whether a batch request may be taken; an online one may always be.
+            batch: Whether batch requests are eligible; online requests always are.
         """
         for id, waiting in self._waiting.items():
             if batch or waiting.work.priority is Priority.ONLINE:
@@ -59,20 +60,20 @@
 
     @property
     def online(self) -> bool:
-        """Whether an online suspect waits."""
+        """Whether an online suspect is queued."""
         return any(entry.work.priority is Priority.ONLINE for entry in self._waiting.values())
 
     def remove(self, id: RequestId) -> None:
-        """Take out a suspect whose caller gave up, if it is here."""
+        """Remove a suspect whose caller cancelled it, if it is queued."""
         self._waiting.pop(id, None)
 
     def expire(self, now: Millis) -> list[Waiting]:
-        """Take out all suspects whose deadline has passed."""
+        """Remove and return all suspects whose deadline has passed."""
         late = [entry for entry in self._waiting.values() if entry.work.deadline < now]
         for waiting in late:
             del self._waiting[waiting.work.id]
         return late
 
     def next_expiry(self) -> Millis | None:
-        """Return the earliest deadline, or ``None``."""
+        """Return the earliest deadline, or ``None`` if no suspect is queued."""
         return min((entry.work.deadline for entry in self._waiting.values()), default=None)
--- a/packages/core/src/carobspool_core/_suspect_records.py
+++ b/packages/core/src/carobspool_core/_suspect_records.py
@@ -1,4 +1,4 @@
-"""What is known of a request suspected of crashing upstreams, and what its caller is told."""
+"""Records of requests suspected of crashing upstreams, and the failures that callers receive."""
 
 from __future__ import annotations
 
@@ -10,17 +10,18 @@
 from carobspool_core._outcome import Failure, invalid_request, unavailable
 
 CRASHES_TO_QUARANTINE = 2
-SUSPECT_KEPT: Millis = 86_400_000.0
-"""Evidence is kept for a day: a caller that resends each hour takes down two upstreams, not two an
-hour. An innocent that comes back within the day is cleared by its first run."""
-QUARANTINE_KEPT: Millis = 7 * 86_400_000.0
-"""A week: engines are updated about as often, and a new one may well run the request."""
-BUSY_RETRY_AFTER: Millis = 2_000.0
-"""When to come back while the single run is under way: most answers take a few seconds."""
+SUSPECT_RETENTION: Millis = 86_400_000.0
+"""Evidence is kept for a day, so that a caller that resends each hour crashes two upstreams in all
+instead of two an hour. An innocent request that returns within the day is cleared by its first run.
+"""
+QUARANTINE_RETENTION: Millis = 7 * 86_400_000.0
+"""A week: engines are updated about as often, and a new engine may well run the request."""
+RUNNING_RETRY_AFTER: Millis = 2_000.0
+"""Retry delay while the single run is in progress; most answers take a few seconds."""
 
 
 class VerdictKind(StrEnum):
-    """What may be done with a request."""
+    """Whether a request may run."""
 
     CLEAR = "clear"
     SUSPECT = "suspect"
@@ -29,11 +30,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Verdict:
-    """The judgement of a fingerprint.
+    """The result of checking a fingerprint.
 
     Attributes:
-        kind: ``SUSPECT``: `Suspects.claim` comes before running it.
-        failure: What its caller gets at once; ``None`` when it may run.
+        kind: For ``SUSPECT``, call `Suspects.claim` before running the request.
+        failure: The failure to return to the caller at once; ``None`` if the request may run.
     """
 
     kind: VerdictKind
@@ -42,12 +43,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SuspectChange:
-    """News of a fingerprint, for other entries and for its object in the store.
+    """A fingerprint's new state, for other entries and for the fingerprint's object in the store.
 
     Attributes:
         fingerprint: Digest of organisation and body.
-        quarantined: Whether it is quarantined now.
-        values: What `Suspects.merge` takes.
+        quarantined: Whether the fingerprint is quarantined now.
+        values: The values for `Suspects.merge`.
     """
 
     fingerprint: str
@@ -57,7 +58,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class SuspectRecord:
-    """One fingerprint's evidence and the claim of its single run."""
+    """The evidence against one fingerprint, and the claim of its single run."""
 
     changed: Millis
     crashes: set[str] = field(default_factory=set)
@@ -69,25 +70,25 @@
 
     @property
     def evidence(self) -> int:
-        """Crashes that it is not cleared of."""
+        """Number of crashes that the fingerprint is not cleared of."""
         return len(self.crashes - self.cleared)
 
     @property
-    def kept_for(self) -> Millis:
-        """How long it is remembered after its last change."""
+    def retention(self) -> Millis:
+        """Time for which the record is kept after its last change."""
         quarantined = self.evidence >= CRASHES_TO_QUARANTINE
-        return QUARANTINE_KEPT if quarantined else SUSPECT_KEPT
+        return QUARANTINE_RETENTION if quarantined else SUSPECT_RETENTION
 
 
 def quarantined_failure() -> Failure:
-    """Return the final answer to a request in quarantine."""
+    """Return the failure of a quarantined request, which the caller should not retry."""
     message = "this request crashed two upstreams and is not run again"
     return invalid_request(
         "request_quarantined", message, status=HTTPStatus.UNPROCESSABLE_ENTITY.value
     )
 
 
-def busy_failure() -> Failure:
-    """Return the answer to a suspect that runs elsewhere."""
+def already_running_failure() -> Failure:
+    """Return the failure of a suspect that is running at another upstream."""
     message = "the request is suspected of crashing upstreams and runs elsewhere now"
-    return unavailable("suspect_running", message, retry_after_ms=BUSY_RETRY_AFTER)
+    return unavailable("suspect_running", message, retry_after_ms=RUNNING_RETRY_AFTER)
--- a/packages/core/src/carobspool_core/_suspects.py
+++ b/packages/core/src/carobspool_core/_suspects.py
@@ -1,16 +1,19 @@
 """Isolation of requests that crash the upstreams that run them.
 
-Load pattern: one request crashes its upstream, and its caller sends it again, through any entry.
-Without isolation it takes the fleet down one upstream at a time, together with everything that ran
-beside it. The engine can't say which request did it, so all that were in flight become suspects.
-
-A suspect runs with no fellow suspect beside it and, whatever its caller resends, once at a time in
-the whole pool. So a second crash names the culprit: it is common to both and is quarantined. Two
-upstreams are lost, a third run never starts. A suspect that runs to its end is cleared.
-
-The state of a fingerprint is two growing sets, crashes and the crashes it is cleared of, so hints
-may arrive in any order, twice or late. The claim of the single run is not made safe by hints: the
-entry writes it to the fingerprint's object by conditional write before it sends the request.
+Load pattern: one request crashes its upstream, and its caller resends it through any entry. Without
+isolation it crashes one upstream of the fleet after another, together with all requests that run
+there. The engine cannot tell which request caused the crash, so all requests in flight become
+suspects.
+
+A suspect never shares an upstream with another suspect and, however often its caller resends it,
+runs at most once at a time in the whole pool. So a second crash identifies the culprit: the request
+that was in flight at both crashes is quarantined. Two upstreams are lost, and a third run never
+starts. A suspect that completes is cleared.
+
+The state of a fingerprint is two grow-only sets, its crashes and the crashes it is cleared of, so
+hints may arrive in any order, late or more than once. The claim of the single run does not rely on
+hints: the entry writes it to the fingerprint's object by a conditional write before it sends the
+request.
 """
 
 from __future__ import annotations
@@ -29,18 +32,19 @@
     SuspectRecord,
     Verdict,
     VerdictKind,
-    busy_failure,
+    already_running_failure,
     quarantined_failure,
 )
 
 MAX_RECORDS = 20_000
-"""53 hosts a day with 32 requests each make 1,700 suspects a day; ten times that, at 0.5 KB."""
+"""53 crashed hosts a day with 32 requests each make 1,700 suspects a day; the limit is about ten
+times that, at 0.5 KB per record."""
 CLAIM_MARGIN: Millis = 5_000.0
-"""A claim outlasts its request's time limit by this, for an answer still under way."""
+"""Time by which a claim outlasts its request's timeout, for an answer still in transit."""
 
 
 class Suspects:
-    """Fingerprints under suspicion or in quarantine, as one entry knows them.
+    """Suspected and quarantined fingerprints, as known to one entry.
 
     Args:
         clock: The process's clock.
@@ -48,22 +52,22 @@
     Since 0.1.
     """
 
-    __slots__ = ("_claims", "_clock", "_records")
+    __slots__ = ("_claim_count", "_clock", "_records")
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._records: OrderedDict[str, SuspectRecord] = OrderedDict()
-        self._claims = 0
+        self._claim_count = 0
 
     def check(self, fingerprint: str, now: Millis) -> Verdict:
-        """Return whether a request may run, before anything else is done with it."""
-        record = self._current(fingerprint, now)
+        """Return whether a request may run; call this method before the request is processed."""
+        record = self._unexpired_record(fingerprint, now)
         if record is None or not record.evidence:
             return Verdict(kind=VerdictKind.CLEAR)
         if record.evidence >= CRASHES_TO_QUARANTINE:
             return Verdict(kind=VerdictKind.QUARANTINED, failure=quarantined_failure())
         if now < record.held_until:
-            return Verdict(kind=VerdictKind.SUSPECT, failure=busy_failure())
+            return Verdict(kind=VerdictKind.SUSPECT, failure=already_running_failure())
         return Verdict(kind=VerdictKind.SUSPECT)
 
     def claim(
@@ -71,75 +75,80 @@
     ) -> Result[SuspectChange, Failure]:
         """Claim the single run of a suspect.
 
-        Read the fingerprint's object and merge it before, and write the change on the version
-        read before the request is sent. When the write conflicts or the store can't be reached,
-        release the claim and refuse the request as not run.
+        Read the fingerprint's object and merge it first. Before the request is sent, write the
+        change on condition that the object still has the version read. If the write conflicts or
+        the store is unreachable, release the claim and refuse the request as not run.
 
         Args:
-            fingerprint: The suspect.
-            holder: The entry's name and incarnation; without blanks.
-            host: The upstream that will run it.
-            now: The instant.
-            timeout: Longest time that the run may take.
+            fingerprint: The suspect's fingerprint.
+            holder: The entry's name and incarnation, without blanks.
+            host: Host of the upstream that will run the suspect.
+            now: The current time.
+            timeout: Maximum duration of the run.
 
         Returns:
-            The change to write and to tell, or why the caller is refused.
+            The change to write to the store and to send to the other entries, or the failure for
+            the caller.
         """
         verdict = self.check(fingerprint, now)
         if verdict.failure is not None:
             return Failed(verdict.failure)
-        record = self._touch(fingerprint, now)
+        record = self._refresh_or_create(fingerprint, now)
         record.holder = holder
         record.host = host
-        return Success(self._held(fingerprint, record, now, timeout))
+        return Success(self._set_claim(fingerprint, record, now, timeout))
 
     def renew(
         self, fingerprint: str, holder: str, now: Millis, *, timeout: Millis
     ) -> SuspectChange | None:
-        """Hold a claim longer, for a run that goes on; write and tell the change.
+        """Extend the claim of a run that continues.
 
-        With short claims that are renewed a suspect is not held back for long when its entry dies.
+        Claims are short and renewed, so that a suspect is not blocked for long if its entry dies.
 
         Returns:
-            The change, ``None`` when the claim is not held any more; the run is to be cancelled.
+            The change to write and to send, or ``None`` if the claim is no longer held; the caller
+            must cancel the run then.
         """
-        record = self._current(fingerprint, now)
+        record = self._unexpired_record(fingerprint, now)
         if record is None or record.holder != holder or now >= record.held_until:
             return None
-        return self._held(fingerprint, record, now, timeout)
+        return self._set_claim(fingerprint, record, now, timeout)
 
     def release(self, fingerprint: str, holder: str, now: Millis) -> SuspectChange | None:
-        """Give a claim back after a run that neither completed nor crashed its upstream."""
-        record = self._current(fingerprint, now)
+        """End a claim after a run that neither completed nor crashed its upstream."""
+        record = self._unexpired_record(fingerprint, now)
         if record is None or record.holder != holder:
             return None
         record.held_until = now
         return self._change(fingerprint, record, now)
 
-    def occupied(self, now: Millis) -> frozenset[str]:
-        """Return the upstreams that run a suspect, to be left out for other suspects."""
+    def hosts_running_suspects(self, now: Millis) -> frozenset[str]:
+        """Return the hosts that run a suspect, which other suspects must avoid."""
         held = (each for each in self._records.values() if now < each.held_until)
         return frozenset(each.host for each in held)
 
     def crashed(
         self, host: str, fingerprints: Iterable[str], now: Millis, *, crash_id: str | None = None
     ) -> list[SuspectChange]:
-        """Note that an upstream crashed.
+        """Record the crash of an upstream.
 
-        Tell the changes to the other entries before the callers hear of the failure: a caller
-        resends at once, and an entry that knows nothing yet would run the request.
+        Send the changes to the other entries before the callers receive the failure: a caller may
+        resend at once, and an entry that does not know of the crash would run the request.
 
         Args:
-            host: The upstream.
-            fingerprints: Requests that were in flight there.
-            now: The instant.
-            crash_id: Names this crash, the same for all who report it, for example host and
-                incarnation; made from host and instant when left out.
+            host: The upstream's host.
+            fingerprints: Fingerprints of the requests that were in flight there.
+            now: The current time.
+            crash_id: Identifies this crash, the same for all entries that report it, for example
+                host and incarnation; derived from host and time if omitted.
+
+        Returns:
+            A change for each fingerprint for which the crash is new.
         """
         name = crash_id or f"{host}@{now:.0f}"
         changes = []
         for fingerprint in fingerprints:
-            record = self._touch(fingerprint, now)
+            record = self._refresh_or_create(fingerprint, now)
             if name in record.crashes:
                 continue
             record.crashes.add(name)
@@ -148,12 +157,12 @@
         return changes
 
     def completed(self, fingerprint: str, now: Millis) -> SuspectChange | None:
-        """Clear a suspect that ran to its end; a quarantined one stays.
+        """Clear a suspect that completed; a quarantined request stays quarantined.
 
         Returns:
-            The change to tell, ``None`` when there was no suspicion.
+            The change to send, or ``None`` if the request was not a suspect.
         """
-        record = self._current(fingerprint, now)
+        record = self._unexpired_record(fingerprint, now)
         if record is None or not 0 < record.evidence < CRASHES_TO_QUARANTINE:
             return None
         record.cleared |= record.crashes
@@ -161,72 +170,76 @@
         return self._change(fingerprint, record, now)
 
     def merge(self, fingerprint: str, values: Mapping[str, str], now: Millis) -> None:
-        """Take over what another entry told or what the fingerprint's object holds."""
-        record = self._touch(fingerprint, now)
+        """Merge the values of another entry's hint or of the fingerprint's object."""
+        record = self._refresh_or_create(fingerprint, now)
         known = record.evidence
-        record.crashes |= _split(values.get("crashes", ""))
-        record.cleared |= _split(values.get("cleared", ""))
+        record.crashes |= _split_ids(values.get("crashes", ""))
+        record.cleared |= _split_ids(values.get("cleared", ""))
         if record.evidence != known:
             record.held_until = now
         self._merge_claim(record, values, now)
 
     def change(self, fingerprint: str, now: Millis) -> SuspectChange:
-        """Return what is known of a fingerprint, as it is written and told."""
-        return self._change(fingerprint, self._touch(fingerprint, now), now)
+        """Return a fingerprint's state in the form that is written and sent."""
+        return self._change(fingerprint, self._refresh_or_create(fingerprint, now), now)
 
     def expire(self, now: Millis) -> None:
-        """Drop what is too old; call it now and then."""
-        old = [key for key, each in self._records.items() if now - each.changed >= each.kept_for]
-        for fingerprint in old:
+        """Remove expired records; call this method periodically."""
+        expired = [
+            fingerprint
+            for fingerprint, record in self._records.items()
+            if now - record.changed >= record.retention
+        ]
+        for fingerprint in expired:
             del self._records[fingerprint]
 
-    def _held(
+    def _set_claim(
         self, fingerprint: str, record: SuspectRecord, now: Millis, timeout: Millis
     ) -> SuspectChange:
-        self._claims += 1
-        record.claim = f"{record.holder}#{self._claims}"
+        self._claim_count += 1
+        record.claim = f"{record.holder}#{self._claim_count}"
         record.held_until = now + timeout + CLAIM_MARGIN
         return self._change(fingerprint, record, now)
 
     def _merge_claim(self, record: SuspectRecord, values: Mapping[str, str], now: Millis) -> None:
         claim = values.get("claim", "")
-        left = float(values.get("held_ms", "0"))
+        remaining = float(values.get("held_ms", "0"))
         if claim == record.claim:
-            # What the object holds is read again and again. Counting the time from each reading,
-            # the claim of an entry that died would never end; it counts from the first.
-            if left <= 0.0:
+            # The same object is read repeatedly. The remaining time counts from the first read;
+            # if it counted from each read, the claim of an entry that died would never end.
+            if remaining <= 0.0:
                 record.held_until = min(record.held_until, now)
             return
         holder = values.get("holder", "")
-        is_renewal = holder == record.holder and _number(claim) > _number(record.claim)
-        if left > 0.0 and (now >= record.held_until or is_renewal):
+        is_renewal = holder == record.holder and _claim_number(claim) > _claim_number(record.claim)
+        if remaining > 0.0 and (now >= record.held_until or is_renewal):
             record.claim = claim
             record.holder = holder
             record.host = values.get("host", "")
-            record.held_until = now + left
+            record.held_until = now + remaining
 
-    def _current(self, fingerprint: str, now: Millis) -> SuspectRecord | None:
+    def _unexpired_record(self, fingerprint: str, now: Millis) -> SuspectRecord | None:
         record = self._records.get(fingerprint)
         if record is None:
             return None
-        if now - record.changed < record.kept_for:
+        if now - record.changed < record.retention:
             return record
         del self._records[fingerprint]
         return None
 
-    def _touch(self, fingerprint: str, now: Millis) -> SuspectRecord:
-        record = self._current(fingerprint, now)
+    def _refresh_or_create(self, fingerprint: str, now: Millis) -> SuspectRecord:
+        record = self._unexpired_record(fingerprint, now)
         if record is None:
             record = self._records[fingerprint] = SuspectRecord(changed=now)
         record.changed = now
         self._records.move_to_end(fingerprint)
         if len(self._records) > MAX_RECORDS:
-            self._drop_one(fingerprint)
+            self._evict_one(fingerprint)
         return record
 
-    def _drop_one(self, kept: str) -> None:
-        # The oldest suspicion goes first. Dropping a quarantine would let a known culprit take
-        # down two more upstreams; a dropped suspect costs at most one.
+    def _evict_one(self, kept: str) -> None:
+        # Evicts the oldest suspect first. Evicting a quarantined record would let a known culprit
+        # crash two more upstreams; an evicted suspect costs at most one.
         for fingerprint, record in self._records.items():
             if fingerprint != kept and record.evidence < CRASHES_TO_QUARANTINE:
                 del self._records[fingerprint]
@@ -247,16 +260,16 @@
 
 
 def make_suspects(clock: Clock) -> Suspects:
-    """Return the state of an entry that suspects nobody.
+    """Return the state of an entry that knows no suspects.
 
     Since 0.1.
     """
     return Suspects(clock)
 
 
-def _split(names: str) -> set[str]:
-    return set(names.split())
+def _split_ids(ids: str) -> set[str]:
+    return set(ids.split())
 
 
-def _number(claim: str) -> int:
+def _claim_number(claim: str) -> int:
     return int(claim.rpartition("#")[2] or 0)
--- a/packages/core/tests/test_suspects.py
+++ b/packages/core/tests/test_suspects.py
@@ -191,7 +191,7 @@
     failure = other.check("f", 100.0).failure
     assert failure is not None and (failure.status, failure.outcome) == (503, Outcome.NOT_RUN)
     assert failure.retry_after_ms is not None
-    assert other.occupied(100.0) == {"up-1"}
+    assert other.hosts_running_suspects(100.0) == {"up-1"}
     assert other.check("f", 7_002.0).failure is None
 
 
