--- a/packages/core/src/carobspool_core/_messages.py
+++ b/packages/core/src/carobspool_core/_messages.py
@@ -1,7 +1,7 @@
 """Messages between an entry and a sidecar, and between entries.
 
 The codec in ``carobspool_node`` writes each message as one CBOR array: a type number followed by
-the fields in the order in which they stand here. A frame on the websocket is an array of messages.
+its fields in the order of their definition. A websocket frame is an array of messages.
 """
 
 from __future__ import annotations
@@ -31,7 +31,10 @@
 
 
 class HintKind(StrEnum):
-    """What a hint is about. Hints only speed things up; the object store decides."""
+    """The subject of a hint.
+
+    Hints only reduce delays; the object store is authoritative.
+    """
 
     JOB_CHANGED = "job_changed"
     CHUNK_DONE = "chunk_done"
@@ -44,11 +47,11 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class RequestId:
-    """Identifies one attempt of a request: unique over all processes and restarts.
+    """Identifies one attempt of a request, unique across all processes and restarts.
 
     Attributes:
-        incarnation: Random id of the entry process that made it.
-        counter: Grows by one for each attempt.
+        incarnation: Random id of the entry process that made the attempt.
+        counter: Increases by one for each attempt.
     """
 
     incarnation: str
@@ -70,10 +73,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Beat:
-    """Heartbeat of a side that has nothing else to tell.
+    """Heartbeat of a side that has nothing else to send.
 
     Attributes:
-        sent: Sender's monotonic clock, from which the receiver learns the clocks' offset.
+        sent: Sender's monotonic clock, from which the receiver derives the clocks' offset.
     """
 
     sent: Millis
@@ -81,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Proof:
-    """Second message of each side: proves the knowledge of a shared key."""
+    """Second message of each side: proves knowledge of a shared key."""
 
     key_id: str
     mac: str
@@ -92,24 +95,25 @@
     """Asks a sidecar to run one request at its upstream.
 
     Attributes:
-        id: The attempt's id; `Head`, `Data` and `End` carry it back.
+        id: The attempt's id, returned in `Head`, `Data` and `End`.
         priority: Online or batch.
         target: Name of the model or of the service.
         method: HTTP method.
         path: Path and query at the upstream.
-        headers: Headers to pass on.
+        headers: Headers to forward.
         body: Request body.
         caller: Caller's id, for fair queueing.
         organisation: The caller's organisation.
-        weight: The caller's share in fair queueing.
+        weight: The caller's weight in fair queueing.
         cost_tokens: Estimated tokens, prompt and answer together.
         prompt_tokens: Estimated prompt tokens.
-        timeout: Time left to the caller's deadline, in milliseconds, when it was sent.
-        idempotent: Whether running it twice is harmless.
-        stream: Whether the caller wants server-sent events as they come.
+        timeout: Time left to the caller's deadline, in milliseconds, when the message was sent.
+        idempotent: Whether running the request twice is harmless.
+        stream: Whether the caller wants server-sent events as they are produced.
         fingerprint: Digest of organisation and body, to recognise requests that crash upstreams.
-        suspect: Whether it must not run beside another suspect.
-        sent: Sender's monotonic clock; a receiver that was paused refuses what is too old.
+        suspect: Whether the request must not run together with another suspect.
+        sent: Sender's monotonic clock; a receiver that was paused refuses messages that are too
+            old.
     """
 
     id: RequestId
@@ -143,7 +147,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Data:
-    """A piece of the answer's body. ``sequence`` counts pieces from 0 without gaps."""
+    """A piece of the answer's body; ``sequence`` numbers the pieces from 0 without gaps."""
 
     id: RequestId
     sequence: int
@@ -156,8 +160,8 @@
 
     Attributes:
         id: The attempt's id.
-        count: Number of `Data` pieces sent; the receiver has them all or the answer is broken.
-        failure: Why it failed, or ``None`` after a complete answer.
+        count: Number of `Data` pieces sent; the answer is broken if the receiver has fewer.
+        failure: Why the attempt failed, or ``None`` after a complete answer.
     """
 
     id: RequestId
@@ -174,7 +178,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Attach:
-    """Asks a sidecar to send an attempt's pieces again, from ``sequence`` on."""
+    """Asks a sidecar to resend an attempt's pieces, starting at ``sequence``."""
 
     id: RequestId
     sequence: int
@@ -185,16 +189,17 @@
     """A sidecar's load, sent on change and at least at each heartbeat.
 
     Attributes:
-        state: Whether it takes new work.
-        running: Requests at the upstream.
-        queued: Requests waiting at the sidecar.
-        tokens: Estimated tokens of both.
-        slots: Requests that the upstream runs side by side.
-        batch_credits: Batch requests that it would take now beyond those it holds.
+        state: Whether the sidecar takes new work.
+        running: Number of requests running at the upstream.
+        queued: Number of requests queued at the sidecar.
+        tokens: Estimated tokens of the running and queued requests.
+        slots: Number of requests that the upstream runs concurrently.
+        batch_credits: Number of batch requests that the sidecar would accept now, beyond those
+            that it holds.
         targets: Models and services ready at the upstream.
         revision: Configuration revision in force.
         first_token: Smoothed time to the first token of online requests, in milliseconds.
-        fencing_epoch: Epoch under which it gives orders.
+        fencing_epoch: Epoch under which the sidecar issues orders.
     """
 
     state: SidecarState
@@ -211,7 +216,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Configuration:
-    """A revision of the desired state, with the parts the receiver lacks."""
+    """A revision of the desired state, with the parts that the receiver lacks."""
 
     revision: int
     parts: dict[str, str] = field(default_factory=dict)
@@ -220,14 +225,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Hint:
-    """News that spares the receiver a read of the object store.
+    """Information that saves the receiver a read of the object store.
 
     Attributes:
-        kind: What it is about.
+        kind: The subject of the hint.
         subject: Job id, host, or fingerprint.
-        origin: Node that first told it.
-        sequence: The origin's count, so that a hint passed on twice is dropped.
-        values: Details by kind.
+        origin: Node that created the hint.
+        sequence: The origin's sequence number, by which repeated hints are dropped.
+        values: Details that depend on the kind.
     """
 
     kind: HintKind
--- a/packages/core/src/carobspool_core/_outcome.py
+++ b/packages/core/src/carobspool_core/_outcome.py
@@ -1,4 +1,4 @@
-"""How a request ended, as told to its caller."""
+"""Failures and outcomes of requests, as returned to callers."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 class Outcome(StrEnum):
     """Whether a request was executed by an upstream.
 
-    Only `NOT_RUN` may be retried without regard to idempotence.
+    Only `NOT_RUN` may be retried regardless of idempotence.
     """
 
     RAN = "ran"
@@ -28,9 +28,9 @@
         status: HTTP status code.
         type: Error class, for example ``invalid_request_error`` or ``rate_limit_error``.
         code: Stable machine-readable code, for example ``model_not_found``.
-        message: One sentence for a person; holds no prompt text and no keys.
+        message: One human-readable sentence; contains no prompt text and no keys.
         outcome: Whether an upstream executed the request.
-        retry_after_ms: When the caller may come back; ``None`` if retrying is pointless.
+        retry_after_ms: Time after which the caller may retry; ``None`` if retrying is pointless.
 
     Since 0.1.
     """
@@ -44,7 +44,7 @@
 
 
 def invalid_request(code: str, message: str, *, status: int = HTTPStatus.BAD_REQUEST) -> Failure:
-    """Return the failure of a request that is malformed or names something that is not there."""
+    """Return the failure of a request that is malformed or names an unknown resource."""
     return Failure(
         status=int(status),
         type="invalid_request_error",
@@ -61,7 +61,7 @@
     retry_after_ms: Millis = 1000.0,
     outcome: Outcome = Outcome.NOT_RUN,
 ) -> Failure:
-    """Return the failure of a request that the system cannot serve at present (503)."""
+    """Return the failure of a request that the system cannot serve now (503)."""
     return Failure(
         status=int(HTTPStatus.SERVICE_UNAVAILABLE),
         type="unavailable_error",
@@ -73,7 +73,7 @@
 
 
 def rate_limited(code: str, message: str, *, retry_after_ms: Millis) -> Failure:
-    """Return the failure of a request refused by a limit or for overload (429)."""
+    """Return the failure of a request refused because of a limit or overload (429)."""
     return Failure(
         status=int(HTTPStatus.TOO_MANY_REQUESTS),
         type="rate_limit_error",
@@ -85,7 +85,7 @@
 
 
 def broken_upstream(code: str, message: str, *, outcome: Outcome) -> Failure:
-    """Return the failure of a request whose upstream broke off (502)."""
+    """Return the failure of a request whose upstream failed or broke off its answer (502)."""
     return Failure(
         status=int(HTTPStatus.BAD_GATEWAY),
         type="upstream_error",
