--- a/packages/core/src/carobspool_core/_load_reports.py
+++ b/packages/core/src/carobspool_core/_load_reports.py
@@ -1,11 +1,12 @@
-"""When a sidecar tells its load to the entries.
+"""Decides when a sidecar sends its load to the entries.
 
-Load pattern: a burst that comes through several entries at once. Each knows only its own part until
-the next report; with reports once a second two random choices are hardly better than a blind one.
+Load pattern: a burst arrives through several entries at once. Each entry knows only its own part
+until the next report. With one report a second, two random choices are hardly better than a
+single random choice.
 
-A report goes out at once when the sidecar stops or starts to take work, and otherwise when the load
-has moved to another band, as often as the sidecar's share of control traffic allows: with 3 entries
-every 120 ms, with 22 every 0.9 s. Without a change the heartbeat carries it.
+A report is sent at once when the sidecar starts or stops accepting work. Otherwise it is sent when
+the load has moved to another band, as often as the sidecar's share of control traffic allows: every
+120 ms with 3 entries, every 0.9 s with 22. Without a change, the heartbeat carries the report.
 """
 
 from __future__ import annotations
@@ -18,17 +19,18 @@
 )
 from carobspool_core._messages import Load
 
-BANDS_OF_SLOTS = 8
-"""Bands in which requests are counted against slots; full or not full is always told apart."""
+LOAD_BANDS = 8
+"""Number of bands into which the ratio of requests to slots is divided. Becoming full or no longer
+full always counts as a change."""
 MIN_REPORT_INTERVAL: Millis = 20.0
-"""An eighth of a burst's requests comes in about this time; reports lag by 10 ms anyway."""
+"""About an eighth of a burst's requests arrives in this time; reports lag by 10 ms anyway."""
 
 
 def report_interval(connections: int) -> Millis:
-    """Return the least time between reports of a change to each of the connected entries.
+    """Return the minimum time between reports of a changed load.
 
     Args:
-        connections: Entries connected to the sidecar.
+        connections: Number of entries connected to the sidecar.
 
     Since 0.1.
     """
@@ -37,7 +39,7 @@
 
 
 class LoadReporter:
-    """What was last told to the entries, by one sidecar.
+    """Remembers the last load report of one sidecar and decides when the next is due.
 
     Since 0.1.
     """
@@ -49,41 +51,41 @@
         self._sent_at: Millis = 0.0
 
     def is_due(self, load: Load, connections: int, now: Millis) -> bool:
-        """Return whether ``load`` is to be sent to all entries now, and remember it if so.
+        """Return whether to send ``load`` to all entries now, and record it as sent if so.
 
-        Call it on each change and at least every `report_interval`.
+        Call this method on each change and at least every `report_interval`.
 
         Args:
-            load: The load as it stands.
-            connections: Entries connected.
-            now: The instant.
+            load: The current load.
+            connections: Number of connected entries.
+            now: The current time.
         """
-        if not self._must_send(load, connections, now):
+        if not self._should_send(load, connections, now):
             return False
         self._sent = load
         self._sent_at = now
         return True
 
-    def _must_send(self, load: Load, connections: int, now: Millis) -> bool:
+    def _should_send(self, load: Load, connections: int, now: Millis) -> bool:
         sent = self._sent
         if sent is None:
             return True
         if (sent.state, sent.targets) != (load.state, load.targets):
             return True
-        passed = now - self._sent_at
-        if passed >= heartbeat_interval(connections):
+        elapsed = now - self._sent_at
+        if elapsed >= heartbeat_interval(connections):
             return True
-        return passed >= report_interval(connections) and _band(load) != _band(sent)
+        return elapsed >= report_interval(connections) and _load_band(load) != _load_band(sent)
 
 
-def _band(load: Load) -> tuple[int, bool, int]:
+def _load_band(load: Load) -> tuple[int, bool, int]:
     requests = load.running + load.queued
     slots = max(1, load.slots)
-    return requests * BANDS_OF_SLOTS // slots, requests < slots, load.batch_credits.bit_length()
+    return requests * LOAD_BANDS // slots, requests < slots, load.batch_credits.bit_length()
 
 
 def make_load_reporter() -> LoadReporter:
-    """Return the state of a sidecar that has told nothing yet.
+    """Return the state of a sidecar that has not sent a report yet.
 
     Since 0.1.
     """
--- a/packages/core/src/carobspool_core/_membership.py
+++ b/packages/core/src/carobspool_core/_membership.py
@@ -1,13 +1,13 @@
-"""Which hosts are alive, as one process sees it.
+"""Failure detection: which connected hosts are alive, as seen by one process.
 
-Load pattern: hosts that fall silent without a word while requests keep coming. Without a bound on
-silence each of them holds its share of the requests until the callers' deadlines.
+Load pattern: hosts stop responding without notice while requests keep arriving. Without a timeout
+each of them holds its share of the requests until the callers' deadlines.
 
-At small sites a heartbeat goes out each second, so a silent host is lost within 3 to 4 s. An entry
-of a large fleet has 7 models x 24 sidecars = 168 connections; a beat of 60 bytes a second on each
-would cost 10 KB/s against the 3 KB/s that a node may spend on control. So the interval grows with
-the connections and stays within half of that budget. Any message counts as a heartbeat, so a busy
-connection needs none.
+At small sites a heartbeat is sent each second, so a silent host is marked lost within 3 to 4 s. An
+entry of a large fleet has 7 models x 24 sidecars = 168 connections. A heartbeat of 60 bytes a
+second on each would cost 10 KB/s, while a node may spend 3 KB/s on control traffic. So the interval
+grows with the number of connections and heartbeats stay within half of that budget. Any message
+counts as a heartbeat, so a busy connection needs none.
 """
 
 from __future__ import annotations
@@ -17,19 +17,20 @@
 from carobspool_core._clock import Clock, Millis
 
 MISSED_HEARTBEATS = 3
-"""One lost beat is a delayed thread, two are a pause of the collector; three are a silent host."""
+"""One missed heartbeat may be a delayed thread, two a garbage collection pause; three mean that the
+host is lost."""
 MIN_HEARTBEAT_INTERVAL: Millis = 1_000.0
 HEARTBEAT_BYTES = 60
-"""A load report of about 20 bytes, its frame, and the headers of TCP and IP."""
+"""A load report of about 20 bytes, its frame, and the TCP and IP headers."""
 HEARTBEAT_BYTES_PER_SECOND = 1_500.0
-"""Half of the 3 KB/s of a node; the other half is left to hints and configuration."""
+"""Half of a node's 3 KB/s; the other half is for hints and configuration."""
 
 
 def heartbeat_interval(connections: int) -> Millis:
     """Return the time between heartbeats on each of a process's connections.
 
     Args:
-        connections: How many the process has.
+        connections: Number of the process's connections.
 
     Since 0.1.
     """
@@ -38,27 +39,28 @@
 
 
 class Membership:
-    """Silence of the hosts that this process is connected to.
+    """Tracks the last message of each host that this process is connected to.
 
-    Time in which this process itself did not run is not held against the hosts: after a pause all
-    of them would seem silent at once, and the entry would refuse everything for no reason.
+    Time during which this process itself was paused does not count as silence of the hosts.
+    Otherwise all hosts would seem silent after a pause, and the entry would refuse all requests
+    without reason.
 
     Args:
         clock: The process's clock.
-        interval: Returns the time between heartbeats for a number of hosts.
+        interval: Returns the time between heartbeats for a given number of hosts.
 
     Since 0.1.
     """
 
-    __slots__ = ("_clock", "_interval", "_last_seen", "_lost", "_observed", "_read_at")
+    __slots__ = ("_clock", "_interval", "_last_seen", "_lost", "_active_time", "_advanced_at")
 
     def __init__(self, clock: Clock, interval: Callable[[int], Millis]) -> None:
         self._clock = clock
         self._interval = interval
         self._last_seen: dict[str, Millis] = {}
         self._lost: set[str] = set()
-        self._observed: Millis = 0.0
-        self._read_at = clock.now()
+        self._active_time: Millis = 0.0
+        self._advanced_at = clock.now()
 
     @property
     def lost(self) -> frozenset[str]:
@@ -67,54 +69,58 @@
 
     @property
     def interval(self) -> Millis:
-        """Time between heartbeats at the present number of hosts."""
+        """Time between heartbeats at the current number of hosts."""
         return self._interval(len(self._last_seen) + len(self._lost))
 
     def beat(self, host: str, now: Millis) -> bool:
-        """Note a message from a host.
+        """Record a message from a host.
 
         Returns:
-            Whether it had been lost and is found again.
+            Whether the host was marked lost until now.
         """
         self._advance(now)
         self._last_seen.pop(host, None)
-        self._last_seen[host] = self._observed
+        self._last_seen[host] = self._active_time
         if host not in self._lost:
             return False
         self._lost.discard(host)
         return True
 
     def forget(self, host: str) -> None:
-        """Drop a host that is no longer watched."""
+        """Remove a host that is no longer monitored."""
         self._last_seen.pop(host, None)
         self._lost.discard(host)
 
     def expire(self, now: Millis) -> list[str]:
-        """Return the hosts that are lost since the last call; call it at least each interval."""
+        """Mark silent hosts as lost and return those newly marked.
+
+        Call this method at least once per interval.
+        """
         self._advance(now)
-        silence = MISSED_HEARTBEATS * self.interval
-        found = []
+        timeout = MISSED_HEARTBEATS * self.interval
+        expired = []
         for host, seen in self._last_seen.items():
-            if self._observed - seen < silence:
+            if self._active_time - seen < timeout:
                 break
-            found.append(host)
-        for host in found:
+            expired.append(host)
+        for host in expired:
             del self._last_seen[host]
             self._lost.add(host)
-        return found
+        return expired
 
     def _advance(self, now: Millis) -> None:
-        # Without the bound a process that was stopped for a minute declares every host lost as
-        # it wakes. A step of at most one interval leaves the hosts two more to be heard.
-        step = max(0.0, now - self._read_at)
-        self._read_at = max(now, self._read_at)
-        self._observed += min(step, self.interval)
+        # Without the bound, a process that was stopped for a minute would mark every host lost
+        # when it resumes. A step of at most one interval leaves each host two more intervals to
+        # send a message.
+        step = max(0.0, now - self._advanced_at)
+        self._advanced_at = max(now, self._advanced_at)
+        self._active_time += min(step, self.interval)
 
 
 def make_membership(
     clock: Clock, interval: Callable[[int], Millis] = heartbeat_interval
 ) -> Membership:
-    """Return the bookkeeping of a process that watches no host yet.
+    """Return the state of a process that monitors no host yet.
 
     Since 0.1.
     """
