--- a/packages/core/src/carobspool_core/_rendezvous.py
+++ b/packages/core/src/carobspool_core/_rendezvous.py
@@ -1,11 +1,11 @@
-"""Rendezvous hashing: every process picks the same node for a key, without talking to the others.
+"""Rendezvous hashing: every process selects the same node for a key, without coordination.
 
-Answers membership that changes many times an hour: when a node goes, only the keys that it owned
-move, and they spread over all the others. With ``hash(key) % n`` nearly every key would move, and
-with it every prefix cache and every claim.
+Membership changes many times an hour. When a node leaves, only the keys that it owned move, and
+they spread over all other nodes. With ``hash(key) % n`` nearly every key would move, and with it
+every prefix cache and every claim.
 
-A score is one XXH3 digest of the node's name seeded with the key's digest. The cost is linear in
-the nodes; `owner` and `first` never sort.
+A node's score is one XXH3 digest of its name, seeded with the key's digest. The cost is linear in
+the number of nodes; `owner` and `first` do not sort all nodes.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 
 
 def rank(key: str, nodes: Sequence[str]) -> list[str]:
-    """Return all nodes, the one preferred for ``key`` first.
+    """Return all nodes, the most preferred for ``key`` first.
 
-    The order depends on the set of nodes alone, not on the order in which they are given.
+    The result depends only on the set of nodes, not on the order of ``nodes``.
 
     Args:
-        key: What is to be placed.
-        nodes: Names of the nodes, each once.
+        key: The key to place.
+        nodes: Distinct names of the nodes.
 
     Since 0.1.
     """
@@ -31,7 +31,7 @@
 
 
 def first(key: str, nodes: Iterable[str], count: int) -> list[str]:
-    """Return the ``count`` preferred nodes for ``key`` in order: the head of `rank`.
+    """Return the ``count`` most preferred nodes for ``key`` in order: the head of `rank`.
 
     Since 0.1.
     """
@@ -39,7 +39,7 @@
 
 
 def owner(key: str, nodes: Sequence[str]) -> str | None:
-    """Return the node preferred for ``key``, or ``None`` when there are no nodes.
+    """Return the most preferred node for ``key``, or ``None`` if there are no nodes.
 
     Since 0.1.
     """
--- a/packages/core/src/carobspool_core/_subsets.py
+++ b/packages/core/src/carobspool_core/_subsets.py
@@ -1,14 +1,15 @@
-"""Which sidecars an entry connects to, when there are too many for all.
-
-Load pattern: 380 entries before 2,900 sidecars. Connected all to all, a sidecar would hold 380
-connections and send each of them its load. Two random choices need only a few dozen to choose
-from, so an entry takes at most 24 sidecars of a model.
-
-If each entry drew its 24 alone, some sidecars would be drawn by few entries or, at small sites,
-by none, and would idle. So the assignment starts from the sidecars: each takes its preferred
-entries by rendezvous, as many as the entries' places allow, passing over entries that are full.
-Places left over are filled from the entry's side. Every entry computes the same assignment from
-the same lists; while lists differ, some sidecars have an entry more or less, which does no harm.
+"""Assigns to each entry the sidecars that it connects to, if there are too many for a full mesh.
+
+Load pattern: 380 entries in front of 2,900 sidecars. In a full mesh a sidecar would hold 380
+connections and send its load on each of them. Two random choices need only a few dozen sidecars to
+choose from, so an entry connects to about 24 sidecars of a model.
+
+If each entry sampled its 24 sidecars independently, some sidecars would have few entries or, at
+small sites, none, and would idle. So the assignment starts from the sidecars: each selects entries
+in its order of preference by rendezvous hashing, as many as the subset size allows, and skips
+entries whose subsets are full. Subsets below their size are filled by the entry's own
+preference. Every entry computes the same assignment from the same lists. While the lists differ,
+some sidecars have one entry more or less, which does no harm.
 """
 
 from __future__ import annotations
@@ -21,41 +22,41 @@
 from carobspool_core._rendezvous import first
 
 SUBSET_SIZE = 24
-"""Sidecars of one model for an entry: with a third of them lost, 16 remain, and two random choices
-of 16 are about as good as of 400."""
+"""Sidecars of one model per entry. With a third of them lost 16 remain, and two random choices of
+16 are about as good as of 400."""
 MIN_ENTRIES_PER_SIDECAR = 3
-"""So that two entries may go at once without idling a sidecar; at small sites it goes before
-`SUBSET_SIZE`."""
+"""Two entries may leave at once without idling a sidecar. At small sites this minimum takes
+precedence over `SUBSET_SIZE`."""
 _SPARE_PREFERENCES = 16
-"""Preferences kept beyond those needed, for entries that are full; when they don't suffice the
-whole ranking is worked out, so this figure decides only the cost."""
+"""Preferences kept beyond those needed, to replace entries with full subsets. If they do not
+suffice, the whole ranking is computed, so the value affects only the cost."""
 
 
 def subset_size(entries: int, sidecars: int) -> int:
-    """Return how many of ``sidecars`` each of ``entries`` takes.
+    """Return the number of ``sidecars`` that each of ``entries`` connects to.
 
     Since 0.1.
     """
     if not entries:
         return 0
-    cover = min(entries, MIN_ENTRIES_PER_SIDECAR)
-    return min(sidecars, max(SUBSET_SIZE, -(-cover * sidecars // entries)))
+    entries_per_sidecar = min(entries, MIN_ENTRIES_PER_SIDECAR)
+    return min(sidecars, max(SUBSET_SIZE, -(-entries_per_sidecar * sidecars // entries)))
 
 
 class Subsets:
-    """The assignment of one model's sidecars to entries, kept cheap under small changes.
+    """The assignment of one model's sidecars to entries, updated incrementally.
 
-    A change of one entry costs one digest for each sidecar, not one for each pair: the preferences
-    of each sidecar are kept, best first, as far down as they are needed.
+    A change of one entry costs one digest per sidecar instead of one per pair: each sidecar's
+    preferences are cached, best first, as far as they are needed.
 
     Since 0.1.
     """
 
-    __slots__ = ("_encoded", "_entries", "_preferences", "_sidecars")
+    __slots__ = ("_encoded_entries", "_entries", "_preferences", "_sidecars")
 
     def __init__(self) -> None:
         self._entries: frozenset[str] = frozenset()
-        self._encoded: list[tuple[bytes, str]] = []
+        self._encoded_entries: list[tuple[bytes, str]] = []
         self._sidecars: list[str] = []
         self._preferences: dict[str, list[tuple[int, str]]] = {}
 
@@ -64,98 +65,108 @@
         added = set(entries) - self._entries
         gone = set(self._entries.difference(entries))
         self._entries = frozenset(entries)
-        self._encoded = [(entry.encode(), entry) for entry in sorted(self._entries)]
+        self._encoded_entries = [(entry.encode(), entry) for entry in sorted(self._entries)]
         self._sidecars = sorted(sidecars)
         known = self._preferences
         self._preferences = {host: known[host] for host in self._sidecars if host in known}
         for host, preferred in self._preferences.items():
-            self._preferences[host] = _changed(host, preferred, added, gone)
+            self._preferences[host] = _update_preferences(host, preferred, added, gone)
 
     def of(self, entry: str) -> list[str]:
         """Return the sidecars that ``entry`` connects to.
 
         Args:
-            entry: One of the entries; for any other the answer is empty.
+            entry: Name of an entry; the result is empty if it is not a live entry.
         """
         if entry not in self._entries:
             return []
-        return self._filled(entry, self._assigned()[entry])
+        return self._fill(entry, self._assign()[entry])
 
     def all(self) -> dict[str, list[str]]:
-        """Return the sidecars of every entry; slower than `of` by the number of entries."""
-        return {entry: self._filled(entry, hosts) for entry, hosts in self._assigned().items()}
+        """Return the sidecars of every entry; unlike `of`, fills the subset of each entry."""
+        return {entry: self._fill(entry, hosts) for entry, hosts in self._assign().items()}
 
-    def _filled(self, entry: str, hosts: list[str]) -> list[str]:
+    def _fill(self, entry: str, hosts: list[str]) -> list[str]:
         size = subset_size(len(self._entries), len(self._sidecars))
         if len(hosts) >= size:
             return hosts
         rest = set(self._sidecars).difference(hosts)
         return hosts + first(entry, rest, size - len(hosts))
 
-    def _assigned(self) -> dict[str, list[str]]:
+    def _assign(self) -> dict[str, list[str]]:
         size = subset_size(len(self._entries), len(self._sidecars))
-        taken: dict[str, list[str]] = {entry: [] for entry in self._entries}
+        assigned: dict[str, list[str]] = {entry: [] for entry in self._entries}
         if size == len(self._sidecars):
             return {entry: list(self._sidecars) for entry in self._entries}
-        cover = size * len(self._entries) // len(self._sidecars)
-        short = self._assign_in_turns(cover, size, taken)
-        for host, count in short.items():
-            self._assign_anyway(host, count, taken)
-        return taken
-
-    def _assign_in_turns(
-        self, cover: int, size: int, taken: dict[str, list[str]]
+        entries_per_sidecar = size * len(self._entries) // len(self._sidecars)
+        missing = self._assign_round_robin(entries_per_sidecar, size, assigned)
+        for host, count in missing.items():
+            self._assign_beyond_size(host, count, assigned)
+        return assigned
+
+    def _assign_round_robin(
+        self, entries_per_sidecar: int, size: int, assigned: dict[str, list[str]]
     ) -> dict[str, int]:
-        """Let each sidecar take one entry at a time, so that the last ones find places too.
+        """Assign each sidecar one entry per round, so that the last sidecars find entries too.
 
         Returns:
-            What remains for sidecars that found fewer than the least number, by sidecar.
+            The number of missing entries of each sidecar that is below the minimum.
         """
-        choices = {host: iter(self._choices(host, cover)) for host in self._sidecars}
+        choices = {
+            host: iter(self._preferred_entries(host, entries_per_sidecar))
+            for host in self._sidecars
+        }
         found = dict.fromkeys(self._sidecars, 0)
-        for _ in range(cover):
+        for _ in range(entries_per_sidecar):
             for host, entries in choices.items():
-                entry = next((each for each in entries if len(taken[each]) < size), None)
+                entry = next((each for each in entries if len(assigned[each]) < size), None)
                 if entry is None:
                     continue
-                taken[entry].append(host)
+                assigned[entry].append(host)
                 found[host] += 1
         least = min(len(self._entries), MIN_ENTRIES_PER_SIDECAR)
         return {host: least - count for host, count in found.items() if count < least}
 
-    def _assign_anyway(self, host: str, count: int, taken: dict[str, list[str]]) -> None:
-        # Near the end the entries with places left may all have this sidecar already. One entry
-        # above its size costs one connection; a sidecar with one entry idles when that entry goes.
-        for entry in self._choices(host, count):
-            if host in taken[entry]:
+    def _assign_beyond_size(self, host: str, count: int, assigned: dict[str, list[str]]) -> None:
+        # In the last rounds all entries with subsets that are not full may have this sidecar
+        # already. Exceeding the subset size of an entry costs one connection; a sidecar with one
+        # entry idles when that entry leaves.
+        for entry in self._preferred_entries(host, count):
+            if host in assigned[entry]:
                 continue
-            taken[entry].append(host)
+            assigned[entry].append(host)
             count -= 1
             if not count:
                 return
 
-    def _choices(self, host: str, cover: int) -> Iterator[str]:
-        """Yield all entries in the sidecar's order of preference."""
-        count = cover + _SPARE_PREFERENCES
-        yield from self._preferred(host, count)
-        for _, entry in _ranked(host, self._encoded)[count:]:
+    def _preferred_entries(self, host: str, entries_per_sidecar: int) -> Iterator[str]:
+        """Yield all entries in the sidecar's order of preference.
+
+        Args:
+            host: The sidecar's host.
+            entries_per_sidecar: Number of entries that the caller probably needs; the cache holds
+                a few more, and the rest are computed on demand.
+        """
+        count = entries_per_sidecar + _SPARE_PREFERENCES
+        yield from self._top_preferences(host, count)
+        for _, entry in _rank_entries(host, self._encoded_entries)[count:]:
             yield entry
 
-    def _preferred(self, host: str, count: int) -> list[str]:
+    def _top_preferences(self, host: str, count: int) -> list[str]:
         preferred = self._preferences.get(host)
         if preferred is None or len(preferred) < min(count, len(self._entries)):
-            preferred = _ranked(host, self._encoded)[: count + _SPARE_PREFERENCES]
+            preferred = _rank_entries(host, self._encoded_entries)[: count + _SPARE_PREFERENCES]
             self._preferences[host] = preferred
         del preferred[count + 2 * _SPARE_PREFERENCES :]
         return [entry for _, entry in preferred[:count]]
 
 
-def _ranked(host: str, entries: list[tuple[bytes, str]]) -> list[tuple[int, str]]:
+def _rank_entries(host: str, entries: list[tuple[bytes, str]]) -> list[tuple[int, str]]:
     seed = xxh3_64_intdigest(host.encode())
     return sorted([(-xxh3_64_intdigest(encoded, seed), entry) for encoded, entry in entries])
 
 
-def _changed(
+def _update_preferences(
     host: str, preferred: list[tuple[int, str]], added: set[str], gone: set[str]
 ) -> list[tuple[int, str]]:
     kept = [each for each in preferred if each[1] not in gone] if gone else preferred
@@ -171,7 +182,7 @@
 
 
 def make_subsets() -> Subsets:
-    """Return an assignment without members.
+    """Return an assignment without entries and sidecars.
 
     Since 0.1.
     """
