--- a/packages/core/src/carobspool_core/_ejection.py
+++ b/packages/core/src/carobspool_core/_ejection.py
@@ -1,12 +1,13 @@
-"""Taking slow or failing upstreams out of a pool, and probing them back in.
+"""Ejects slow or failing upstreams from a pool and readmits them after successful probes.
 
 Load pattern: one upstream of many answers slowly or with errors while it looks idle. Without
-ejection it attracts requests just because it finishes few, and every n-th caller waits for it.
+ejection it attracts requests because it finishes few, and every n-th caller waits for it.
 
-An upstream is compared with the median of its own pool, so that overload, which slows all of them,
-ejects none. Only requests that were sent while it seemed to have a free slot are compared: waiting
-for a slot is load, which the two random choices see to. At most a third of a pool is out at once:
-beyond that the fault is more likely a shared one, and the rest could not carry the load.
+An upstream is compared with the median of its own pool, so that overload, which slows all
+upstreams, ejects none. Only requests that were sent while the upstream seemed to have a free slot
+are compared: waiting for a slot indicates load, which the two random choices balance. At most a
+third of a pool is ejected at once: beyond that a shared cause is more likely, and the remaining
+upstreams could not carry the load.
 """
 
 from __future__ import annotations
@@ -21,28 +22,29 @@
 
 MAX_EJECTED_SHARE = 1 / 3
 SLOW_RATIO = 3.0
-"""Times the pool's median: prompts differ by about 2 within a pool, averages over 8 by far less."""
-SLOW_FLOOR: Millis = 300.0
-"""Below this no upstream counts as slow: a quarter of the 1.2 s that callers are to wait at most. A
-lower floor ejects upstreams for computing prompts that others have in their caches."""
-SAMPLES = 11
-"""The middle one of the last eleven decides, so up to five long prompts do not."""
+"""Multiple of the pool's median. Prompts within a pool differ by a factor of about 2, averages over
+8 prompts by far less."""
+MIN_SLOW_THRESHOLD: Millis = 300.0
+"""A lower median never counts as slow. The value is a quarter of the 1.2 s that callers should wait
+at most; a lower value ejects upstreams that compute prompts which other upstreams have cached."""
+SAMPLE_WINDOW = 11
+"""The median of the last eleven samples is compared, so up to five long prompts have no effect."""
 MIN_SAMPLES = 8
-"""With five, chance alone ejected an upstream within 10 s of a start (trial, seed 1)."""
-HUNG_FLOOR: Millis = 2_000.0
-"""Two requests that wait longer than this, and longer than three times what counts as slow, show
-that an upstream hangs: a prompt of 8,000 tokens takes under a second."""
+"""With five samples an upstream was ejected by chance within 10 s of a start."""
+MIN_HUNG_WAIT: Millis = 2_000.0
+"""An upstream hangs if two requests wait longer than this and longer than three times the slowness
+threshold: a prompt of 8,000 tokens takes under a second."""
 MAX_CONSECUTIVE_FAILURES = 5
-FIRST_EJECTION: Millis = 5_000.0
-MAX_EJECTION: Millis = 60_000.0
+FIRST_EJECTION_TIME: Millis = 5_000.0
+MAX_EJECTION_TIME: Millis = 60_000.0
 PROBES_TO_RETURN = 3
-MEDIAN_AGE: Millis = 250.0
+MEDIAN_MAX_AGE: Millis = 250.0
 
 
 @dataclass(slots=True, kw_only=True)
 class _Health:
-    samples: deque[Millis] = field(default_factory=lambda: deque(maxlen=SAMPLES))
-    typical: Millis | None = None
+    samples: deque[Millis] = field(default_factory=lambda: deque(maxlen=SAMPLE_WINDOW))
+    median_first_token: Millis | None = None
     failures: int = 0
     ejections: int = 0
     ejected_until: Millis | None = None
@@ -53,7 +55,7 @@
 
 
 class Ejector:
-    """Health of the upstreams of one pool as this entry sees it.
+    """Tracks the health of one pool's upstreams at this entry and ejects outliers.
 
     Since 0.1.
     """
@@ -68,68 +70,68 @@
 
     @property
     def ejected(self) -> frozenset[str]:
-        """Hosts that get nothing but probes."""
+        """Hosts that receive only probes."""
         return frozenset(self._ejected)
 
-    def keep_only(self, hosts: Iterable[str]) -> None:
-        """Forget hosts that are no longer in the pool."""
+    def retain_only(self, hosts: Iterable[str]) -> None:
+        """Drop the state of all hosts except ``hosts``."""
         kept = set(hosts)
         self._ejected = {host: None for host in self._ejected if host in kept}
         self._health = {host: health for host, health in self._health.items() if host in kept}
 
     def forget(self, host: str) -> None:
-        """Forget what is known of a host, after it was lost: a new process may stand there."""
+        """Drop the state of a lost host, whose process may have been replaced."""
         self._ejected.pop(host, None)
         self._health.pop(host, None)
 
-    def started(self, host: str, id: Hashable, now: Millis) -> None:
-        """Note an online request sent while the host seemed to have a free slot.
+    def record_start(self, host: str, id: Hashable, now: Millis) -> None:
+        """Record an online request sent while the host seemed to have a free slot.
 
-        On an ejected host it is the probe.
+        A request to an ejected host without a running probe becomes the probe.
         """
-        health = self._of(host)
+        health = self._health_of(host)
         health.waiting[id] = now
         if host in self._ejected and health.probe is None:
             health.probe = id
 
-    def first_token(self, host: str, id: Hashable, now: Millis) -> None:
-        """Note the first token of an online request."""
-        health = self._of(host)
+    def record_first_token(self, host: str, id: Hashable, now: Millis) -> None:
+        """Record the first token of an online request."""
+        health = self._health_of(host)
         started = health.waiting.pop(id, None)
         if started is None:
             return
         if health.probe == id:
             health.probe_first_token = now - started
-        self._sample(health, now - started)
+        self._add_sample(health, now - started)
 
-    def ended(self, host: str, id: Hashable, *, ok: bool, now: Millis, pool_size: int) -> bool:
-        """Note the end of an online request.
+    def record_end(self, host: str, id: Hashable, *, ok: bool, now: Millis, pool_size: int) -> bool:
+        """Record the end of an online request.
 
         Returns:
             Whether the set of ejected hosts changed.
         """
-        health = self._of(host)
+        health = self._health_of(host)
         started = health.waiting.pop(id, None)
         if ok and started is not None:
-            self._sample(health, now - started)
+            self._add_sample(health, now - started)
             if health.probe == id:
                 health.probe_first_token = now - started
         health.failures = 0 if ok else health.failures + 1
         if health.probe == id:
             health.probe = None
-            return self._judge_probe(host, health, ok=ok, now=now)
+            return self._finish_probe(host, health, ok=ok, now=now)
         if health.failures >= MAX_CONSECUTIVE_FAILURES and host not in self._ejected:
             return self._eject(host, health, now, pool_size)
         return False
 
     def check(self, host: str, now: Millis, pool_size: int) -> bool:
-        """Eject a host that is slow against the pool.
+        """Eject a host that is slow compared with the pool.
 
-        A request that still waits for its first token counts with its age, so an upstream that
-        hangs is found although it never gives a sample.
+        Requests that still wait for their first token count with their age, so that an upstream
+        that hangs is detected although it produces no samples.
 
         Returns:
-            Whether it was ejected.
+            Whether the host was ejected.
         """
         health = self._health.get(host)
         if health is None or host in self._ejected:
@@ -139,11 +141,11 @@
         return self._eject(host, health, now, pool_size)
 
     def due_probe(self, among: Container[str], now: Millis) -> str | None:
-        """Return an ejected host that may get one request to prove itself, or ``None``.
+        """Return an ejected host that may receive one request as a probe, or ``None``.
 
         Args:
-            among: Hosts that may be chosen at all.
-            now: The instant.
+            among: The usable hosts.
+            now: The current time.
         """
         for host in self._ejected:
             if host not in among:
@@ -155,38 +157,42 @@
                 return host
         return None
 
-    def _of(self, host: str) -> _Health:
+    def _health_of(self, host: str) -> _Health:
         health = self._health.get(host)
         if health is None:
             health = self._health[host] = _Health()
         return health
 
-    def _sample(self, health: _Health, first_token: Millis) -> None:
+    def _add_sample(self, health: _Health, first_token: Millis) -> None:
         health.samples.append(first_token)
         if len(health.samples) >= MIN_SAMPLES:
-            health.typical = median(health.samples)
+            health.median_first_token = median(health.samples)
 
     def _is_slow(self, health: _Health, now: Millis) -> bool:
-        bound = self._slow_bound(now)
-        if bound is None:
+        threshold = self._slow_threshold(now)
+        if threshold is None:
             return False
-        if health.typical is not None and health.typical > bound:
+        if health.median_first_token is not None and health.median_first_token > threshold:
             return True
         if len(health.waiting) < 2:
             return False
-        oldest = list(islice(health.waiting.values(), 2))
-        return now - oldest[1] > max(HUNG_FLOOR, SLOW_RATIO * bound)
+        two_oldest = list(islice(health.waiting.values(), 2))
+        return now - two_oldest[1] > max(MIN_HUNG_WAIT, SLOW_RATIO * threshold)
 
-    def _slow_bound(self, now: Millis) -> Millis | None:
-        if self._median_at is None or now - self._median_at >= MEDIAN_AGE:
-            self._median = self._current_median()
+    def _slow_threshold(self, now: Millis) -> Millis | None:
+        if self._median_at is None or now - self._median_at >= MEDIAN_MAX_AGE:
+            self._median = self._pool_median()
             self._median_at = now
         if self._median is None:
             return None
-        return max(SLOW_FLOOR, SLOW_RATIO * self._median)
-
-    def _current_median(self) -> Millis | None:
-        known = [each.typical for each in self._health.values() if each.typical is not None]
+        return max(MIN_SLOW_THRESHOLD, SLOW_RATIO * self._median)
+
+    def _pool_median(self) -> Millis | None:
+        known = [
+            each.median_first_token
+            for each in self._health.values()
+            if each.median_first_token is not None
+        ]
         if len(known) < 2:
             return None
         return median(known)
@@ -201,11 +207,11 @@
         health.ejected_until = now + _ejection_time(health.ejections)
         return True
 
-    def _judge_probe(self, host: str, health: _Health, *, ok: bool, now: Millis) -> bool:
-        bound = self._slow_bound(now)
-        took = health.probe_first_token
+    def _finish_probe(self, host: str, health: _Health, *, ok: bool, now: Millis) -> bool:
+        threshold = self._slow_threshold(now)
+        first_token = health.probe_first_token
         health.probe_first_token = None
-        slow = bound is not None and took is not None and took > bound
+        slow = threshold is not None and first_token is not None and first_token > threshold
         if not ok or slow:
             health.ejections += 1
             health.good_probes = 0
@@ -217,9 +223,9 @@
         del self._ejected[host]
         health.ejected_until = None
         health.samples.clear()
-        health.typical = None
+        health.median_first_token = None
         return True
 
 
 def _ejection_time(count: int) -> Millis:
-    return min(MAX_EJECTION, FIRST_EJECTION * 2.0 ** (count - 1))
+    return min(MAX_EJECTION_TIME, FIRST_EJECTION_TIME * 2.0 ** (count - 1))
--- a/packages/core/src/carobspool_core/_pools.py
+++ b/packages/core/src/carobspool_core/_pools.py
@@ -1,4 +1,4 @@
-"""The upstreams of each target, as one entry knows them."""
+"""The pool of upstreams of each target, as known to one entry."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class PooledUpstream:
-    """What is known of one upstream."""
+    """An upstream's declaration, load estimate and state."""
 
     __slots__ = ("declared", "estimate", "leaving_until", "lost", "pools", "ready", "state")
 
@@ -32,45 +32,49 @@
 
     @property
     def has_free_slot(self) -> bool:
-        """Whether a request sent now would seem to start at once."""
+        """Whether a request sent now would probably start without waiting."""
         return self.estimate.requests < self.declared.slots
 
     def is_usable(self, target: str) -> bool:
-        """Return whether requests for ``target`` may be sent there."""
+        """Return whether requests for ``target`` may be sent to this upstream."""
         if self.lost or self.leaving_until is not None or self.state is not SidecarState.READY:
             return False
         return target in self.ready
 
     def observe(self, load: Load, now: Millis) -> None:
-        """Take over a report."""
+        """Apply a load report."""
         before = self.estimate.tokens
         self.estimate.observe(load, now)
         if self.lost or self.state is not load.state or self.ready != load.targets:
             self.state = load.state
             self.ready = load.targets
             self.lost = False
-            self.mark()
-        self._tell_pools(self.estimate.tokens - before)
+            self.mark_pools_stale()
+        self._update_pool_tokens(self.estimate.tokens - before)
 
     def start(self, id: Hashable, flight: Flight) -> None:
-        """Add a request."""
+        """Add a request to the load estimate."""
         before = self.estimate.tokens
         self.estimate.start(id, flight)
-        self._tell_pools(self.estimate.tokens - before)
+        self._update_pool_tokens(self.estimate.tokens - before)
 
     def end(self, id: Hashable) -> Flight | None:
-        """Remove a request and return it; ``None`` when it is not known."""
+        """Remove a request from the load estimate.
+
+        Returns:
+            The request, or ``None`` if the id is unknown.
+        """
         before = self.estimate.tokens
         flight = self.estimate.end(id)
-        self._tell_pools(self.estimate.tokens - before)
+        self._update_pool_tokens(self.estimate.tokens - before)
         return flight
 
-    def mark(self) -> None:
-        """Let each pool look again at who may be chosen."""
+    def mark_pools_stale(self) -> None:
+        """Make each pool of this upstream recompute its usable upstreams on next access."""
         for pool in self.pools:
             pool.is_stale = True
 
-    def _tell_pools(self, change: int) -> None:
+    def _update_pool_tokens(self, change: int) -> None:
         if not change:
             return
         for pool in self.pools:
@@ -78,15 +82,16 @@
 
 
 class Pool:
-    """The upstreams declared for one target, and those of them that may be chosen now.
+    """The upstreams declared for one target, and the subset that is active now.
 
-    The sum of their tokens is kept, so that the mean costs nothing at a request.
+    The pool maintains the sum of the active upstreams' tokens, so that a request does not compute
+    the mean anew.
     """
 
     __slots__ = (
-        "_by_domain",
-        "_chosen",
-        "_chosen_hosts",
+        "_active_by_domain",
+        "_active",
+        "_active_hosts",
         "_slots",
         "_target",
         "_tokens",
@@ -99,11 +104,11 @@
 
     def __init__(self, target: str) -> None:
         self._target = target
-        self._chosen: list[PooledUpstream] = []
-        self._chosen_hosts: frozenset[str] = frozenset()
+        self._active: list[PooledUpstream] = []
+        self._active_hosts: frozenset[str] = frozenset()
         self._usable: list[PooledUpstream] = []
         self._usable_hosts: frozenset[str] = frozenset()
-        self._by_domain: dict[str, list[PooledUpstream]] = {}
+        self._active_by_domain: dict[str, list[PooledUpstream]] = {}
         self._tokens = 0
         self._slots = 0
         self.members: list[PooledUpstream] = []
@@ -111,11 +116,11 @@
         self.is_stale = True
 
     @property
-    def chosen(self) -> list[PooledUpstream]:
+    def active(self) -> list[PooledUpstream]:
         """Usable upstreams that are not ejected."""
         if self.is_stale:
             self._refresh()
-        return self._chosen
+        return self._active
 
     @property
     def usable(self) -> list[PooledUpstream]:
@@ -133,16 +138,16 @@
 
     @property
     def tokens_per_slot(self) -> float:
-        """Estimated tokens of the chosen upstreams for each of their slots."""
+        """Mean estimated tokens per slot of the active upstreams."""
         return self._tokens / max(1, self._slots)
 
-    def in_domain(self, failure_domain: str) -> list[PooledUpstream]:
-        """Return the chosen upstreams of a failure domain."""
-        return self._by_domain.get(failure_domain, [])
+    def active_in_domain(self, failure_domain: str) -> list[PooledUpstream]:
+        """Return the active upstreams in a failure domain."""
+        return self._active_by_domain.get(failure_domain, [])
 
     def add_tokens(self, host: str, change: int) -> None:
-        """Note that an upstream's estimate has changed."""
-        if host in self._chosen_hosts:
+        """Add a change of an upstream's estimate to the sum, if the upstream is active."""
+        if host in self._active_hosts:
             self._tokens += change
 
     def _refresh(self) -> None:
@@ -151,10 +156,10 @@
         self._usable = usable
         ejected = self.ejector.ejected
         self._usable_hosts = frozenset(each.host for each in usable)
-        self._chosen = [each for each in usable if each.host not in ejected]
-        self._chosen_hosts = frozenset(each.host for each in self._chosen)
-        self._tokens = sum(each.estimate.tokens for each in self._chosen)
-        self._slots = sum(each.declared.slots for each in self._chosen)
-        self._by_domain = {}
-        for each in self._chosen:
-            self._by_domain.setdefault(each.declared.failure_domain, []).append(each)
+        self._active = [each for each in usable if each.host not in ejected]
+        self._active_hosts = frozenset(each.host for each in self._active)
+        self._tokens = sum(each.estimate.tokens for each in self._active)
+        self._slots = sum(each.declared.slots for each in self._active)
+        self._active_by_domain = {}
+        for each in self._active:
+            self._active_by_domain.setdefault(each.declared.failure_domain, []).append(each)
--- a/packages/core/src/carobspool_core/_route_types.py
+++ b/packages/core/src/carobspool_core/_route_types.py
@@ -1,4 +1,4 @@
-"""What routing is told and what it answers."""
+"""Input, output and settings of routing."""
 
 from __future__ import annotations
 
@@ -9,23 +9,26 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RoutingSettings:
-    """What of routing may be varied, mainly to measure what each part is worth.
+    """Routing parameters, varied mainly to measure the effect of each mechanism.
 
     Attributes:
-        choices: Upstreams compared for a request; 1 is blind, 2 is enough against herds.
-        affinity: Whether equal prefixes prefer equal upstreams.
-        ejection: Whether slow and failing upstreams are taken out.
-        prefer_own_domain: Whether one upstream of the entry's own failure domain is compared too,
-            and taken when it is no busier.
-        near_share: Share of the slots up to which that one is taken.
-        lag_correction: Whether this entry's own requests are added to reports.
-        free_slot_first: Whether an upstream with a free slot goes before a full one with fewer
-            tokens: one long request in a slot delays nobody in the others.
-        search_free_slot: Whether all upstreams are looked through when those drawn are full.
-        load_bound: Times the pool's mean load above which a preferred upstream is left. 1.25
-            keeps at least four fifths of the pool busy before anyone is preferred into overload.
-        free_share: Share of the slots up to which a preferred upstream is never left: an engine
-            that is half empty delays nobody, however small the mean.
+        choices: Number of random upstreams compared for a request; 1 ignores load, 2 is enough to
+            avoid herding.
+        affinity: Whether requests with the same prefix prefer the same upstream.
+        ejection: Whether slow and failing upstreams are ejected.
+        prefer_own_domain: Whether an upstream of the entry's own failure domain is compared as
+            well, and chosen if it is no busier.
+        own_domain_share: Fraction of occupied slots from which that upstream is not preferred.
+        lag_correction: Whether this entry's own requests are added to the reported load.
+        free_slot_first: Whether an upstream with a free slot precedes a full upstream with fewer
+            tokens: a long request in one slot does not delay requests in other slots.
+        search_free_slot: Whether all upstreams are searched for a free slot if the sampled ones
+            are full.
+        load_bound: Multiple of the pool's mean load above which a preferred upstream is not used.
+            1.25 keeps at least four fifths of the pool busy before affinity can overload an
+            upstream.
+        free_share: Fraction of occupied slots below which a preferred upstream is always used: a
+            half-empty engine delays no request, however small the mean load.
     """
 
     choices: int = 2
@@ -35,7 +38,7 @@
     lag_correction: bool = True
     free_slot_first: bool = True
     search_free_slot: bool = True
-    near_share: float = 0.25
+    own_domain_share: float = 0.25
     load_bound: float = 1.25
     free_share: float = 0.75
 
@@ -46,9 +49,9 @@
 
     Attributes:
         host: Name of the upstream's host.
-        failure_domain: Where it stands.
-        targets: Models and services that it should serve.
-        slots: Requests that it runs side by side.
+        failure_domain: Failure domain of the host.
+        targets: Models and services that the upstream should serve.
+        slots: Number of requests that the upstream runs concurrently.
     """
 
     host: str
@@ -59,16 +62,16 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RouteRequest:
-    """What routing needs to know of a request.
+    """The properties of a request that routing uses.
 
     Attributes:
         target: Model or service.
         cost_tokens: Estimated tokens, prompt and answer together.
-        prefix_key: Digest of the prompt's leading part; ``None`` when affinity is of no use.
-        failure_domain: The entry's own.
-        priority: Online or batch; batch goes only where credits are left.
+        prefix_key: Digest of the prompt's prefix; ``None`` if affinity has no benefit.
+        failure_domain: Failure domain of the entry.
+        priority: Online or batch; batch requests are sent only to upstreams with credits left.
         exclude: Hosts already tried.
-        suspect: Whether it is suspected of crashing upstreams.
+        suspect: Whether the request is suspected of crashing upstreams.
     """
 
     target: str
@@ -85,8 +88,8 @@
     """The chosen upstream.
 
     Attributes:
-        host: Its name.
-        affinity: Whether the prefix decided, so that a warm cache may be expected.
+        host: Name of the upstream's host.
+        affinity: Whether the prefix determined the choice, so that its cache is probably warm.
     """
 
     host: str
--- a/packages/core/src/carobspool_core/_selection.py
+++ b/packages/core/src/carobspool_core/_selection.py
@@ -1,13 +1,14 @@
-"""The choice of one upstream among those that may be chosen.
+"""Selects one upstream among the candidates for a request.
 
-Load pattern: bursts of requests of very unequal cost, and many with the same prompt prefix, over
-upstreams whose load is known late. "The least loaded" sends a whole burst to one upstream; a blind
-choice sends a short request behind long ones while a slot is free elsewhere. Two random choices
-avoid both.
+Load pattern: bursts of requests of very unequal cost, many of them with the same prompt prefix,
+over upstreams whose load reports arrive late. Choosing the least loaded upstream would send a whole
+burst to the same upstream. A uniformly random choice would queue a short request behind long ones
+while another upstream has a free slot. The less busy of two random choices avoids both.
 
-Equal prefixes prefer equal upstreams, or each upstream would compute every prefix and its limited
-cache hold few of them. The preference ends where the favourite is busier than others: without
-that bound one hot prefix loads a single upstream while the others idle.
+Requests with the same prefix prefer the same upstream. Otherwise each upstream would compute every
+prefix, and its limited cache would hold few of them. The preference ends when the preferred
+upstream is busier than the others: without that bound one frequent prefix overloads a single
+upstream while the others are idle.
 """
 
 from __future__ import annotations
@@ -22,12 +23,12 @@
 
 
 def candidates_for(pool: Pool, request: RouteRequest) -> Sequence[PooledUpstream]:
-    """Return the upstreams that may take a request; `Pool.chosen` itself when all of them may."""
-    # When all others are lost or were tried, an ejected upstream is better than a refusal.
-    return _allowed(pool.chosen, request) or _allowed(pool.usable, request)
+    """Return the upstreams that may take a request; `Pool.active` itself if all of them may."""
+    # If all others are lost or were tried, an ejected upstream is better than a refusal.
+    return _eligible(pool.active, request) or _eligible(pool.usable, request)
 
 
-def _allowed(
+def _eligible(
     upstreams: Sequence[PooledUpstream], request: RouteRequest
 ) -> Sequence[PooledUpstream]:
     found = upstreams
@@ -40,21 +41,21 @@
     return found
 
 
-def lighter_of_random(
+def least_busy_of_random(
     upstreams: Sequence[PooledUpstream], rng: Random, settings: RoutingSettings
 ) -> PooledUpstream:
-    """Return the least busy of a few different upstreams drawn at random.
+    """Return the least busy of a few distinct upstreams sampled at random.
 
-    When all of these are full, the draw is repeated among those that seem to have a free slot.
+    If all sampled upstreams are full, sample again among those that seem to have a free slot.
     """
-    best = _drawn(upstreams, rng, settings)
-    if not settings.search_free_slot or not is_avoided(best, settings):
+    best = _sample_least_busy(upstreams, rng, settings)
+    if not settings.search_free_slot or not is_full(best, settings):
         return best
-    free = [each for each in upstreams if not is_avoided(each, settings)]
-    return _drawn(free, rng, settings) if free else best
+    free = [each for each in upstreams if not is_full(each, settings)]
+    return _sample_least_busy(free, rng, settings) if free else best
 
 
-def _drawn(
+def _sample_least_busy(
     upstreams: Sequence[PooledUpstream], rng: Random, settings: RoutingSettings
 ) -> PooledUpstream:
     count = len(upstreams)
@@ -65,32 +66,39 @@
     for _ in range(settings.choices - 1):
         index = (index + 1 + int(rng.random() * (count - 1))) % count
         other = upstreams[index]
-        if busyness(other, settings) < busyness(best, settings):
+        if load_key(other, settings) < load_key(best, settings):
             best = other
     return best
 
 
-def near_unless_busier(
+def own_domain_unless_busier(
     upstream: PooledUpstream,
-    near: Sequence[PooledUpstream],
+    own_domain: Sequence[PooledUpstream],
     rng: Random,
     settings: RoutingSettings,
 ) -> PooledUpstream:
-    """Return an upstream of the entry's own failure domain if it is nearly idle and no busier.
+    """Return a random upstream of the own failure domain if nearly idle and no busier.
 
-    The domain saves 3 ms of a round trip; waiting for a slot costs hundreds. On busier upstreams
-    the third candidate only makes the entries of a domain run after the same report.
+    Staying in the failure domain saves 3 ms of round-trip time; waiting for a slot costs hundreds
+    of milliseconds. Among busier upstreams, this third candidate would only make all entries of a
+    failure domain follow the same load report.
+
+    Args:
+        upstream: The upstream selected so far, returned otherwise.
+        own_domain: The candidates in the entry's own failure domain.
+        rng: Source of the random choice.
+        settings: Routing parameters.
     """
-    if not settings.prefer_own_domain or not near:
+    if not settings.prefer_own_domain or not own_domain:
         return upstream
-    candidate = near[int(rng.random() * len(near))]
-    if candidate.estimate.requests >= candidate.declared.slots * settings.near_share:
+    candidate = own_domain[int(rng.random() * len(own_domain))]
+    if candidate.estimate.requests >= candidate.declared.slots * settings.own_domain_share:
         return upstream
-    return candidate if busyness(candidate, settings) <= busyness(upstream, settings) else upstream
+    return candidate if load_key(candidate, settings) <= load_key(upstream, settings) else upstream
 
 
-def favourite(prefix_key: str, upstreams: Sequence[PooledUpstream]) -> PooledUpstream:
-    """Return the upstream that should hold a prefix's cache.
+def preferred_upstream(prefix_key: str, upstreams: Sequence[PooledUpstream]) -> PooledUpstream:
+    """Return the upstream whose cache should hold a prefix.
 
     Args:
         prefix_key: Digest of the prompt's leading part.
@@ -100,13 +108,13 @@
     return by_host[first(prefix_key, by_host, 1)[0]]
 
 
-def is_light(
+def has_capacity(
     upstream: PooledUpstream, cost_tokens: int, pool: Pool, settings: RoutingSettings
 ) -> bool:
-    """Return whether a favourite may take a request of ``cost_tokens`` more."""
+    """Return whether a preferred upstream may take another request of ``cost_tokens``."""
     if upstream.estimate.requests < upstream.declared.slots * settings.free_share:
         return True
-    # A warm cache saves a part of a prompt; a wait for a slot costs a whole answer.
+    # A warm cache saves part of the prompt's cost; waiting for a slot takes a whole answer.
     if settings.free_slot_first and not upstream.has_free_slot:
         return False
     tokens = upstream.estimate.tokens + cost_tokens
@@ -114,20 +122,23 @@
 
 
 def least_busy(upstreams: Sequence[PooledUpstream], settings: RoutingSettings) -> PooledUpstream:
-    """Return the least busy upstream of all: for suspects, which should have few beside them."""
-    return min(upstreams, key=lambda each: busyness(each, settings))
+    """Return the least busy of all upstreams.
+
+    Used for suspects, so that few other requests run at the same upstream.
+    """
+    return min(upstreams, key=lambda each: load_key(each, settings))
 
 
-def busyness(upstream: PooledUpstream, settings: RoutingSettings) -> tuple[bool, float]:
-    """Return the key by which upstreams are compared; less is better."""
+def load_key(upstream: PooledUpstream, settings: RoutingSettings) -> tuple[bool, float]:
+    """Return the sort key by which upstreams are compared; the lowest is the least busy."""
     tokens = upstream.estimate.tokens / upstream.declared.slots
-    return is_avoided(upstream, settings), tokens
+    return is_full(upstream, settings), tokens
 
 
-def is_avoided(upstream: PooledUpstream, settings: RoutingSettings) -> bool:
-    """Return whether an upstream seems to have no free slot.
+def is_full(upstream: PooledUpstream, settings: RoutingSettings) -> bool:
+    """Return whether an upstream counts as having no free slot.
 
-    One that runs a suspect counts as full, so that few are beside it if it crashes.
+    An upstream that runs a suspect counts as full, so that a crash affects few other requests.
     """
     if upstream.estimate.suspects:
         return True
