--- a/packages/core/src/carobspool_core/_pools.py
+++ b/packages/core/src/carobspool_core/_pools.py
@@ -89,8 +89,8 @@
     """
 
     __slots__ = (
-        "_active_by_domain",
         "_active",
+        "_active_by_domain",
         "_active_hosts",
         "_slots",
         "_target",
--- a/packages/core/src/carobspool_core/_selection.py
+++ b/packages/core/src/carobspool_core/_selection.py
@@ -77,7 +77,7 @@
     rng: Random,
     settings: RoutingSettings,
 ) -> PooledUpstream:
-    """Return a random upstream of the own failure domain if nearly idle and no busier.
+    """Return a random upstream of the own failure domain if it is nearly idle and no busier.
 
     Staying in the failure domain saves 3 ms of round-trip time; waiting for a slot costs hundreds
     of milliseconds. Among busier upstreams, this third candidate would only make all entries of a
--- a/packages/core/tests/pool_model.py
+++ b/packages/core/tests/pool_model.py
@@ -1,10 +1,10 @@
-"""A discrete-event model of entries, sidecars and engines, for judging routing by its callers.
+"""A discrete-event model of entries, sidecars and engines, to test routing from the callers' view.
 
-An engine has slots and takes requests in order of arrival. A request waits for a slot, then for
-its prompt (0.1 ms a token, a fifth of that when the prefix is cached), then for its answer (16 ms
-a token and 0.4 ms more for each request beside it). A sidecar refuses at once when its queue is
-full. It reports its load to every entry when `LoadReporter` says so, or at fixed intervals, and
-with each answer's end; each report arrives 1.5 ms late.
+An engine has slots and starts requests in order of arrival. A request waits for a slot, then for
+its prompt (0.1 ms a token, a fifth of that if the prefix is cached), then for its answer (16 ms a
+token and 0.4 ms more for each request that runs concurrently). A sidecar refuses requests at once
+if its queue is full. It reports its load to every entry when `LoadReporter` decides so, or at fixed
+intervals, and at the end of each answer. Each report arrives 1.5 ms late.
 """
 
 from __future__ import annotations
@@ -39,17 +39,17 @@
 )
 
 MODEL = "reading-desk"
-NETWORK: Millis = 1.5
-PREFILL: Millis = 0.1
-CACHED_SHARE = 0.2
+LATENCY: Millis = 1.5
+PREFILL_PER_TOKEN: Millis = 0.1
+CACHED_PREFILL_SHARE = 0.2
 STEP: Millis = 16.0
 STEP_PER_STREAM: Millis = 0.4
-LOST_AFTER: Millis = 3_000.0
+LOST_DETECTION_DELAY: Millis = 3_000.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Arrival:
-    """One request of a caller, and what it turns out to need."""
+    """One request of a caller, with its prompt and answer tokens."""
 
     at: Millis
     prompt: int = 330
@@ -59,8 +59,8 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class Ending:
-    """What a caller received: the first token after so long, or a failure."""
+class CallerResult:
+    """What a caller received: an answer with its time to the first token, or a failure."""
 
     arrival: Arrival
     first_token: Millis | None = None
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PoolShape:
-    """The pool that a run is about."""
+    """The pool that a run simulates."""
 
     upstreams: int = 9
     slots: int = 8
@@ -110,7 +110,7 @@
             fencing_epoch=1,
         )
 
-    def is_cached(self, prefix: str | None) -> bool:
+    def lookup_and_cache(self, prefix: str | None) -> bool:
         if prefix is None:
             return False
         hit = prefix in self.cache
@@ -126,7 +126,7 @@
     id: int
     entry: int
     host: str
-    ending: Ending
+    result: CallerResult
     cost: int
     tried: frozenset[str]
     streaming: bool = False
@@ -134,7 +134,7 @@
 
 
 class Pool:
-    """One run: arrivals go in, endings come out."""
+    """One simulation run: takes arrivals and returns the callers' results."""
 
     def __init__(
         self,
@@ -164,17 +164,17 @@
         for host, instant in shape.crash_at.items():
             self._at(instant, lambda host=host: self._crash(host))  # type: ignore[misc]
 
-    def run(self, arrivals: Sequence[Arrival]) -> list[Ending]:
-        """Run until every caller has its ending, in the order of the arrivals."""
-        endings = [Ending(arrival=each) for each in arrivals]
-        self._open = len(endings)
-        for ending in endings:
-            self._at(ending.arrival.at, lambda ending=ending: self._arrive(ending))  # type: ignore
+    def run(self, arrivals: Sequence[Arrival]) -> list[CallerResult]:
+        """Run until every caller has a result; return the results in the order of the arrivals."""
+        results = [CallerResult(arrival=each) for each in arrivals]
+        self._open = len(results)
+        for result in results:
+            self._at(result.arrival.at, lambda result=result: self._arrive_at_entry(result))  # type: ignore
         while self._open:
             instant, _, event = heapq.heappop(self._events)
             self._clock.advance(max(0.0, instant - self._clock.now()))
             event()
-        return endings
+        return results
 
     def _make_router(self, hosts: list[str], settings: RoutingSettings | None) -> Router:
         router = make_router(self._clock, Random(self._rng.random()), settings)
@@ -207,17 +207,17 @@
         load, now = engine.load(), self._clock.now()
         if self._shape.report_every or engine.reporter.is_due(load, self._shape.entries, now):
             for router in self.routers:
-                self._after(NETWORK, lambda r=router: r.observe(host, load, self._clock.now()))  # type: ignore
+                self._after(LATENCY, lambda r=router: r.observe(host, load, self._clock.now()))  # type: ignore
         self._after(self._report_interval, lambda: self._report(host))
 
-    def _arrive(self, ending: Ending) -> None:
+    def _arrive_at_entry(self, result: CallerResult) -> None:
         entry = self._rng.randrange(self._shape.entries)
         self.first_attempts += 1
         self._retry[entry].request()
-        self._send(entry, ending, frozenset())
+        self._send(entry, result, frozenset())
 
-    def _send(self, entry: int, ending: Ending, tried: frozenset[str]) -> None:
-        arrival = ending.arrival
+    def _send(self, entry: int, result: CallerResult, tried: frozenset[str]) -> None:
+        arrival = result.arrival
         cost = arrival.prompt + 100
         request = RouteRequest(
             target=MODEL,
@@ -227,20 +227,25 @@
             exclude=tried,
         )
         now = self._clock.now()
-        result = self.routers[entry].pick(request, now)
-        if not isinstance(result, Success):
-            self._finish(ending, result.failure())
+        choice = self.routers[entry].pick(request, now)
+        if not isinstance(choice, Success):
+            self._finish(result, choice.failure())
             return
-        host = result.unwrap().host
-        ending.attempts += 1
+        host = choice.unwrap().host
+        result.attempts += 1
         self._count += 1
         attempt = _Attempt(
-            id=self._count, entry=entry, host=host, ending=ending, cost=cost, tried=tried | {host}
+            id=self._count,
+            entry=entry,
+            host=host,
+            result=result,
+            cost=cost,
+            tried=tried | {host},
         )
         self.routers[entry].started(host, attempt.id, cost, now)
-        self._after(NETWORK, lambda: self._reach(attempt))
+        self._after(LATENCY, lambda: self._arrive_at_sidecar(attempt))
 
-    def _reach(self, attempt: _Attempt) -> None:
+    def _arrive_at_sidecar(self, attempt: _Attempt) -> None:
         engine = self.engines[attempt.host]
         if engine.crashed:
             self._fail(attempt, broken_upstream("refused", "", outcome=Outcome.NOT_RUN))
@@ -253,10 +258,10 @@
 
     def _start(self, engine: _Engine, attempt: _Attempt) -> None:
         engine.running[attempt.id] = attempt
-        arrival = attempt.ending.arrival
-        attempt.ending.cached = engine.is_cached(arrival.prefix)
-        share = CACHED_SHARE if attempt.ending.cached else 1.0
-        prefill = (STEP + PREFILL * arrival.prompt * share) * engine.slow
+        arrival = attempt.result.arrival
+        attempt.result.cached = engine.lookup_and_cache(arrival.prefix)
+        share = CACHED_PREFILL_SHARE if attempt.result.cached else 1.0
+        prefill = (STEP + PREFILL_PER_TOKEN * arrival.prompt * share) * engine.slow
         step = (STEP + STEP_PER_STREAM * len(engine.running)) * engine.slow
         self._after(prefill, lambda: self._first_token(attempt))
         self._after(prefill + step * arrival.answer, lambda: self._end(engine, attempt))
@@ -265,8 +270,8 @@
         if attempt.done:
             return
         attempt.streaming = True
-        now = self._clock.now() + NETWORK
-        attempt.ending.first_token = now - attempt.ending.arrival.at
+        now = self._clock.now() + LATENCY
+        attempt.result.first_token = now - attempt.result.arrival.at
         self.routers[attempt.entry].first_token(attempt.host, attempt.id, now)
 
     def _end(self, engine: _Engine, attempt: _Attempt) -> None:
@@ -277,14 +282,14 @@
         if engine.queue:
             self._start(engine, engine.queue.pop(0))
         load = engine.load()
-        self._after(NETWORK, lambda: self._answered(attempt, load))
+        self._after(LATENCY, lambda: self._answered(attempt, load))
 
     def _answered(self, attempt: _Attempt, load: Load) -> None:
         now = self._clock.now()
         router = self.routers[attempt.entry]
         router.ended(attempt.host, attempt.id, True, now)
         router.observe(attempt.host, load, now)
-        self._finish(attempt.ending, None)
+        self._finish(attempt.result, None)
 
     def _fail(self, attempt: _Attempt, failure: Failure) -> None:
         attempt.done = True
@@ -292,27 +297,27 @@
         refused = failure.type == "rate_limit_error"
         self.routers[attempt.entry].ended(attempt.host, attempt.id, refused, now)
         policy = self._retry[attempt.entry]
-        deadline = attempt.ending.arrival.at + attempt.ending.arrival.timeout
+        deadline = attempt.result.arrival.at + attempt.result.arrival.timeout
         streaming = attempt.streaming
-        if not policy.may_retry(failure, True, attempt.ending.attempts, deadline, streaming, now):
-            self._finish(attempt.ending, failure)
+        if not policy.may_retry(failure, True, attempt.result.attempts, deadline, streaming, now):
+            self._finish(attempt.result, failure)
             return
         self.retries += 1
-        delay = policy.delay(attempt.ending.attempts, self._rng)
-        self._after(delay, lambda: self._send(attempt.entry, attempt.ending, attempt.tried))
+        delay = policy.delay(attempt.result.attempts, self._rng)
+        self._after(delay, lambda: self._send(attempt.entry, attempt.result, attempt.tried))
 
     def _crash(self, host: str) -> None:
         engine = self.engines[host]
         engine.crashed = True
-        cut = [*engine.running.values(), *engine.queue]
+        interrupted = [*engine.running.values(), *engine.queue]
         for router in self.routers:
-            self._after(LOST_AFTER, lambda r=router: r.lost(host, self._clock.now()))  # type: ignore
-        for attempt in cut:
+            self._after(LOST_DETECTION_DELAY, lambda r=router: r.lost(host, self._clock.now()))  # type: ignore
+        for attempt in interrupted:
             self._fail(attempt, broken_upstream("broken", "", outcome=Outcome.UNKNOWN))
 
-    def _finish(self, ending: Ending, failure: Failure | None) -> None:
-        ending.failure = failure
-        ending.answered_at = self._clock.now()
+    def _finish(self, result: CallerResult, failure: Failure | None) -> None:
+        result.failure = failure
+        result.answered_at = self._clock.now()
         self._open -= 1
 
 
@@ -326,7 +331,7 @@
     answer: int = 100,
     prefix: Callable[[Random], str | None] = lambda rng: None,
 ) -> list[Arrival]:
-    """Return Poisson arrivals at ``rate`` a second with log-normal prompts and answers."""
+    """Return Poisson arrivals at ``rate`` per second with log-normal prompt and answer lengths."""
     found = []
     now = start
     while True:
@@ -344,13 +349,13 @@
 
 
 def percentile(values: Sequence[float], share: float) -> float:
-    """Return the value below which ``share`` of the values lie; infinite when there are none."""
+    """Return the value below which ``share`` of the values lie; infinity if there are none."""
     if not values:
         return float("inf")
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
 
 
-def first_tokens(endings: Sequence[Ending]) -> list[Millis]:
+def first_tokens(results: Sequence[CallerResult]) -> list[Millis]:
     """Return the times to the first token of the complete answers."""
-    return [each.first_token or 0.0 for each in endings if each.failure is None]
+    return [each.first_token or 0.0 for each in results if each.failure is None]
--- a/packages/core/tests/test_routing.py
+++ b/packages/core/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Routing: whom a request is sent to."""
+"""Routing: the upstream to which a request is sent."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def report(tokens: int = 0, **changes: object) -> Load:
-    """Return a load report of an idle ready upstream, with changes."""
+    """Return a load report of an idle and ready upstream, with changed fields."""
     values: dict[str, object] = {
         "state": SidecarState.READY,
         "running": 0,
@@ -44,7 +44,7 @@
 
 
 def router_of(count: int, settings: RoutingSettings | None = None, seed: int = 1) -> Router:
-    """Return a router before ``count`` idle upstreams in three failure domains."""
+    """Return a router with ``count`` idle upstreams in three failure domains."""
     router = make_router(ManualClock(), Random(seed), settings)
     router.set_upstreams(
         [
@@ -71,16 +71,16 @@
     return choice.host
 
 
-def test_unknown_target_is_the_callers_mistake() -> None:
-    """A target that nobody declares is answered with 404 and was not run."""
+def test_unknown_target_is_answered_with_404() -> None:
+    """A request for a target that no upstream declares is answered with 404 and not run."""
     failure = pick(router_of(3), target="unknown")
     assert isinstance(failure, Failure)
     assert (failure.status, failure.code) == (404, "model_not_found")
     assert failure.outcome is Outcome.NOT_RUN
 
 
-def test_no_candidate_tells_when_to_come_back() -> None:
-    """When every upstream is lost the caller gets 503, not run, and a time to come back."""
+def test_no_candidate_returns_a_retry_delay() -> None:
+    """If every upstream is lost the caller receives 503, not run, with a retry delay."""
     router = router_of(3)
     for n in range(3):
         router.lost(f"up-{n}", 1.0)
@@ -90,8 +90,8 @@
     assert failure.retry_after_ms is not None and failure.retry_after_ms >= 500
 
 
-def test_lost_and_leaving_get_nothing_and_found_is_used_again() -> None:
-    """An upstream that is lost or leaving gets no request until it is back."""
+def test_lost_and_leaving_upstreams_receive_no_requests_until_they_return() -> None:
+    """An upstream that is lost or leaving receives no requests until it returns."""
     router = router_of(3)
     router.lost("up-0", 1.0)
     router.leaving("up-1")
@@ -102,7 +102,7 @@
 
 
 def test_burst_within_one_report_spreads() -> None:
-    """A burst that no report shows yet spreads evenly, for this entry counts what it sent."""
+    """A burst between two load reports spreads evenly, because the entry counts what it sent."""
     router = router_of(9)
     counts = dict.fromkeys((f"up-{n}" for n in range(9)), 0)
     for n in range(180):
@@ -114,7 +114,7 @@
 
 
 def test_batch_goes_only_where_credits_are_left() -> None:
-    """A batch request takes a granted credit, and is refused as not run when none is left."""
+    """A batch request uses a granted credit, and is refused as not run if none is left."""
     router = router_of(3)
     router.observe("up-1", report(batch_credits=2), 1.0)
     for n in range(2):
@@ -125,7 +125,7 @@
 
 
 def fail_all(router: Router, hosts: set[str], rounds: int, now: float) -> None:
-    """Let every request sent to ``hosts`` fail, and the others end well."""
+    """Run requests of which those sent to ``hosts`` fail and the others succeed."""
     for n in range(rounds):
         host = picked(router, now)
         router.started(host, (now, n), 100, now)
@@ -133,7 +133,7 @@
 
 
 def test_failing_upstreams_are_ejected_but_never_more_than_a_third() -> None:
-    """Of nine upstreams five fail every request; three are ejected, the others still get some."""
+    """If five of nine upstreams fail every request, three are ejected and six remain in use."""
     router = router_of(9)
     bad = {f"up-{n}" for n in range(5)}
     fail_all(router, bad, 2_000, 1.0)
@@ -143,7 +143,7 @@
 
 
 def test_an_ejected_upstream_is_probed_and_returns() -> None:
-    """After 5 s it gets one request at a time; three good ones bring it back, a bad one not."""
+    """After 5 s it receives one probe at a time; three successes readmit it, a failure does not."""
     router = router_of(3)
     fail_all(router, {"up-0"}, 200, 1.0)
     assert "up-0" not in {picked(router, 4_000.0) for _ in range(100)}
@@ -160,18 +160,18 @@
     assert {picked(router, 15_400.0) for _ in range(100)} == {"up-0", "up-1", "up-2"}
 
 
-def test_an_idle_pool_is_used_near_by_and_a_busy_near_domain_is_left() -> None:
-    """Requests stay in the entry's failure domain while that costs nothing."""
+def test_own_failure_domain_is_preferred_when_idle_and_avoided_when_busy() -> None:
+    """Requests stay in the entry's failure domain unless its upstreams are busier."""
     router = router_of(9)
-    near = {"up-1", "up-4", "up-7"}
-    assert {picked(router, failure_domain="domain-1") for _ in range(100)} == near
-    for host in near:
+    own_domain = {"up-1", "up-4", "up-7"}
+    assert {picked(router, failure_domain="domain-1") for _ in range(100)} == own_domain
+    for host in own_domain:
         router.observe(host, report(900, running=8), 1.0)
-    assert not near & {picked(router, failure_domain="domain-1") for _ in range(100)}
+    assert not own_domain & {picked(router, failure_domain="domain-1") for _ in range(100)}
 
 
-def test_suspects_run_apart_from_each_other_and_from_most_others() -> None:
-    """A second suspect goes elsewhere, other requests avoid both, and a third finds no place."""
+def test_suspects_are_isolated_from_each_other_and_from_other_requests() -> None:
+    """Suspects run at different upstreams, others avoid these, and a fourth suspect is refused."""
     router = router_of(3)
     hosts = []
     for n in range(3):
@@ -185,7 +185,7 @@
 
 
 def test_a_tried_upstream_is_not_chosen_again() -> None:
-    """A retry goes to another upstream, and is refused as not run when there is none."""
+    """A retry goes to another upstream, and is refused as not run if there is none."""
     router = router_of(2)
     assert {picked(router, exclude=frozenset({"up-0"})) for _ in range(50)} == {"up-1"}
     assert isinstance(pick(router, exclude=frozenset({"up-0", "up-1"})), Failure)
@@ -208,10 +208,14 @@
     exclude=st.frozensets(st.sampled_from(["up-0", "up-1", "up-2", "up-3"]), max_size=3),
     suspect=st.booleans(),
 )
-def test_whatever_happens_only_a_usable_upstream_is_chosen(
+def test_only_usable_upstreams_are_chosen_after_any_sequence_of_events(
     steps: list[tuple[str, int]], exclude: frozenset[str], suspect: bool
 ) -> None:
-    """No order of reports, losses, drains and failures lets a request reach a barred upstream."""
+    """After any reports, losses, drains and failures, the router chooses a usable upstream.
+
+    Requests must never reach an upstream that is down, lost, leaving or excluded, and must be
+    refused only if no other upstream is left.
+    """
     router = router_of(4)
     ready, lost, leaving = {f"up-{n}" for n in range(4)}, set(), set()
     for n, (action, which) in enumerate(steps):
