--- a/packages/core/tests/test_suspects.py
+++ b/packages/core/tests/test_suspects.py
@@ -1,4 +1,4 @@
-"""Suspects: a request that crashes upstreams takes down two, and the innocent go free."""
+"""Suspects: a crashing request takes down at most two upstreams; innocent requests are cleared."""
 
 from __future__ import annotations
 
@@ -15,10 +15,11 @@
 
 
 class Fleet:
-    """Entries with hints that arrive late, one object store, and upstreams that the culprit kills.
+    """Entries with delayed hints, one object store, and upstreams that the culprit crashes.
 
-    A run is one step of an entry: check, claim by conditional write, choose an upstream that runs
-    no suspect, send. The store's object decides between two entries that claim at once.
+    Each run consists of the steps of an entry: check, claim by conditional write, choose an
+    upstream that runs no suspect, send. The object in the store decides between two entries that
+    claim at the same time.
     """
 
     def __init__(self, entries: int, rng: Random, *, races: float = 0.0) -> None:
@@ -32,14 +33,14 @@
         self.crashes = 0
         self.outage = False
 
-    def tell(self, origin: int, fingerprint: str, values: dict[str, str]) -> None:
-        """Queue a hint for all other entries."""
+    def queue_hints(self, origin: int, fingerprint: str, values: dict[str, str]) -> None:
+        """Queue a hint for each of the other entries."""
         for index in range(len(self.entries)):
             if index != origin:
                 self.hints.append((index, fingerprint, values))
 
     def deliver(self, count: int) -> None:
-        """Deliver some hints in any order, now and then twice."""
+        """Deliver some hints in random order, some of them more than once."""
         for _ in range(min(count, len(self.hints))):
             index, fingerprint, values = self.rng.choice(self.hints)
             if self.rng.random() < 0.8:
@@ -47,7 +48,10 @@
             self.entries[index].merge(fingerprint, values, self.clock.now())
 
     def write(self, entry: int, fingerprint: str, values: dict[str, str]) -> bool:
-        """Write on the version that the entry last read; on conflict it reads the present one."""
+        """Write if the object still has the version that the entry last read.
+
+        On a conflict, the entry reads and merges the current version.
+        """
         if self.outage:
             return False
         version, present = self.store.get(fingerprint, (0, {}))
@@ -61,23 +65,23 @@
         return True
 
     def read(self, entry: int, fingerprint: str) -> None:
-        """Read the object and merge it."""
+        """Read the object and merge it into the entry's state."""
         version, present = self.store.get(fingerprint, (0, {}))
         self.versions[entry][fingerprint] = version
         self.entries[entry].merge(fingerprint, present, self.clock.now())
 
-    def pause(self, entry: int) -> None:
-        """Let another entry act between the read and the write of a claim, now and then."""
+    def maybe_race(self, entry: int) -> None:
+        """At random, let another entry send between the read and the write of a claim."""
         if self.rng.random() < self.races:
             self.send((entry + 1) % len(self.entries), CULPRIT)
 
-    def write_until_done(self, entry: int, fingerprint: str, values: dict[str, str]) -> None:
-        """Write evidence, merging what stands there first."""
+    def write_with_retries(self, entry: int, fingerprint: str, values: dict[str, str]) -> None:
+        """Write evidence; after each conflict, merge the stored values and retry."""
         while not self.write(entry, fingerprint, values):
             values = self.entries[entry].change(fingerprint, self.clock.now()).values
 
     def send(self, entry: int, fingerprint: str, beside: tuple[str, ...] = ()) -> int:
-        """Run a request through an entry and return the status that its caller gets."""
+        """Run a request through an entry and return the status that its caller receives."""
         self.clock.advance(10.0)
         now = self.clock.now()
         suspects = self.entries[entry]
@@ -89,7 +93,7 @@
             claimed = suspects.claim(fingerprint, f"entry-{entry}", "up", now, timeout=1_000.0)
             if not isinstance(claimed, Success):
                 return claimed.failure().status
-            self.pause(entry)
+            self.maybe_race(entry)
             if not self.write(entry, fingerprint, claimed.unwrap().values):
                 suspects.release(fingerprint, f"entry-{entry}", now)
                 return 503
@@ -98,19 +102,19 @@
             return 502
         completed = suspects.completed(fingerprint, now)
         if completed is not None:
-            self.write_until_done(entry, fingerprint, completed.values)
-            self.tell(entry, fingerprint, completed.values)
+            self.write_with_retries(entry, fingerprint, completed.values)
+            self.queue_hints(entry, fingerprint, completed.values)
         return 200
 
     def crash(self, entry: int, fingerprints: tuple[str, ...]) -> None:
-        """Let an upstream die; evidence is written and told before the caller hears."""
+        """Crash an upstream; the evidence is written and sent before the caller is answered."""
         self.crashes += 1
         now = self.clock.now()
         for change in self.entries[entry].crashed(
             "up", fingerprints, now, crash_id=f"c{self.crashes}"
         ):
-            self.write_until_done(entry, change.fingerprint, change.values)
-            self.tell(entry, change.fingerprint, change.values)
+            self.write_with_retries(entry, change.fingerprint, change.values)
+            self.queue_hints(entry, change.fingerprint, change.values)
 
 
 @settings(max_examples=200, deadline=None)
@@ -119,15 +123,15 @@
     order=st.lists(st.integers(0, 3), min_size=4, max_size=40),
     delivered=st.integers(0, 6),
 )
-def test_at_most_two_upstreams_die_however_the_caller_resends(
+def test_at_most_two_upstreams_crash_however_the_caller_resends(
     seed: int, order: list[int], delivered: int
 ) -> None:
     """A caller resends a crashing request at once through all entries.
 
-    The first crash is told to all before the caller hears of it. Later hints arrive late, twice
-    and out of order, and entries claim at the same time. The second crash names the request; an
-    entry that has not heard of it is stopped by the object that it has to claim. Two upstreams
-    die, no more, and once the news is everywhere each entry answers 422.
+    All entries learn of the first crash before the caller is answered. Later hints arrive late,
+    twice and out of order, and entries claim at the same time. The second crash identifies the
+    request. An entry that does not know of it yet is stopped by the object that it must claim. At
+    most two upstreams crash, and once all hints have arrived each entry answers 422.
     """
     fleet = Fleet(4, Random(seed), races=0.3)
     fleet.send(0, CULPRIT, beside=("innocent-1", "innocent-2"))
@@ -149,8 +153,8 @@
     assert fleet.crashes <= 2
 
 
-def test_the_innocent_beside_a_culprit_complete_and_are_cleared() -> None:
-    """Those in flight at the first crash run again one at a time, complete, and are free."""
+def test_innocent_requests_beside_a_culprit_complete_and_are_cleared() -> None:
+    """Requests in flight at the first crash run again one at a time, complete, and are cleared."""
     fleet = Fleet(2, Random(1))
     innocents = tuple(f"innocent-{n}" for n in range(6))
     fleet.send(0, CULPRIT, beside=innocents)
@@ -165,8 +169,8 @@
         assert entry.check(CULPRIT, now).kind is VerdictKind.SUSPECT
 
 
-def test_while_the_store_is_down_suspects_wait_and_others_run() -> None:
-    """A suspect can't claim its run during an outage: 503, not run; the clear are not touched."""
+def test_while_the_store_is_down_suspects_are_refused_and_others_run() -> None:
+    """During a store outage suspects cannot claim a run and receive 503; other requests run."""
     fleet = Fleet(2, Random(1))
     fleet.send(0, CULPRIT, beside=("innocent",))
     while fleet.hints:
@@ -180,8 +184,8 @@
     assert fleet.crashes == 1
 
 
-def test_a_resend_while_the_single_run_is_under_way_is_not_run() -> None:
-    """While one entry runs a suspect, the others refuse it as not run and say when to come back."""
+def test_a_resend_during_the_single_run_is_refused() -> None:
+    """While one entry runs a suspect, the others refuse it as not run, with a retry delay."""
     clock = ManualClock()
     one, other = make_suspects(clock), make_suspects(clock)
     for change in one.crashed("up-0", ["f"], 0.0):
@@ -195,8 +199,8 @@
     assert other.check("f", 7_002.0).failure is None
 
 
-def test_the_claim_of_an_entry_that_died_ends_and_a_renewed_one_goes_on() -> None:
-    """Reading the same object again does not prolong a claim; a renewal does."""
+def test_the_claim_of_a_dead_entry_expires_and_a_renewed_claim_continues() -> None:
+    """Reading the same object again does not extend a claim; a renewal does."""
     clock = ManualClock()
     one, other = make_suspects(clock), make_suspects(clock)
     evidence = one.crashed("up-0", ["f"], 0.0)[0]
@@ -212,8 +216,8 @@
     assert one.renew("f", "entry-1", 25_000.0, timeout=10_000.0) is None
 
 
-def test_crash_told_by_several_counts_once_and_evidence_ends() -> None:
-    """Entries that report the same crash make one piece of evidence; after a day it is gone."""
+def test_a_crash_reported_by_several_entries_counts_once_and_evidence_expires() -> None:
+    """Several reports of one crash count once; quarantine expires a week after the last change."""
     suspects = make_suspects(ManualClock())
     for _ in range(3):
         suspects.crashed("up-0", ["f"], 0.0, crash_id="up-0/a")
@@ -225,8 +229,8 @@
     assert suspects.check("f", 7 * DAY + 2.0).kind is VerdictKind.CLEAR
 
 
-def test_the_state_is_bounded_and_keeps_quarantines_longest() -> None:
-    """A flood of suspects displaces suspects, not the request known to crash upstreams."""
+def test_the_state_is_bounded_and_evicts_suspects_before_quarantines() -> None:
+    """Many new suspects evict older suspects, but not the quarantined request."""
     suspects = make_suspects(ManualClock())
     suspects.crashed("up-0", ["f"], 0.0)
     suspects.crashed("up-1", ["f"], 1.0)
@@ -236,7 +240,7 @@
     assert suspects.check("flood-24999", 3.0).kind is VerdictKind.SUSPECT
 
 
-def test_the_gate_lets_one_suspect_in() -> None:
+def test_the_gate_admits_one_suspect_at_a_time() -> None:
     """A second suspect at the same upstream is refused as not run until the first has ended."""
     gate = make_suspect_gate()
     assert gate.enter("a") is None
