--- a/packages/core/tests/test_load_reports.py
+++ b/packages/core/tests/test_load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports: told when it matters, within the budget of control traffic."""
+"""Load reports: sent on relevant changes, within the budget of control traffic."""
 
 from __future__ import annotations
 
@@ -20,10 +20,11 @@
 )
 
 
-def test_leaving_is_told_at_once_a_change_of_load_soon_and_nothing_else_before_the_heartbeat() -> (
-    None
-):
-    """Entries hear at once of a sidecar that leaves, and after the interval of a new band."""
+def test_leaving_is_reported_at_once_and_a_new_load_band_after_the_interval() -> None:
+    """Reports are sent at once when a sidecar leaves, after the interval when the band changes.
+
+    Any other change is sent only with the next heartbeat.
+    """
     reporter = make_load_reporter()
     assert reporter.is_due(IDLE, 3, 0.0)
     assert not reporter.is_due(replace(IDLE, running=8), 3, 50.0)
@@ -34,7 +35,7 @@
 
 
 def test_reports_cost_at_most_half_of_the_control_budget() -> None:
-    """A load that changes each millisecond costs 1.5 KB/s over 22 entries, at 60 bytes each."""
+    """A load that changes each millisecond costs 1.5 KB/s with 22 entries and 60 bytes a report."""
     reporter = make_load_reporter()
     sent = 0
     for n in range(60_000):
--- a/packages/core/tests/test_membership.py
+++ b/packages/core/tests/test_membership.py
@@ -1,12 +1,12 @@
-"""Membership: who is silent."""
+"""Membership: detection of silent hosts."""
 
 from __future__ import annotations
 
 from carobspool_core import ManualClock, heartbeat_interval, make_membership
 
 
-def test_three_missed_heartbeats_make_a_host_lost_and_any_message_finds_it() -> None:
-    """A silent host is lost after 3 s, not before, and its next message says it is found again."""
+def test_a_host_is_lost_after_three_missed_heartbeats_until_its_next_message() -> None:
+    """A silent host is lost after 3 s, not before, and its next message ends that state."""
     clock = ManualClock()
     membership = make_membership(clock)
     membership.beat("up-0", 0.0)
@@ -20,8 +20,11 @@
     assert membership.lost == frozenset()
 
 
-def test_own_pause_makes_nobody_lost() -> None:
-    """A process that was stopped for a minute still trusts the hosts that it then hears of."""
+def test_a_pause_of_this_process_marks_no_host_lost() -> None:
+    """A process that was stopped for a minute marks no host lost when it resumes.
+
+    Afterwards a host that stays silent is still detected.
+    """
     membership = make_membership(ManualClock())
     for host in ("up-0", "up-1"):
         membership.beat(host, 0.0)
@@ -32,7 +35,7 @@
 
 
 def test_heartbeats_stay_within_half_of_the_control_budget() -> None:
-    """At 7 models x 24 sidecars the beats of an entry cost at most 1.5 KB a second."""
+    """With 7 models x 24 sidecars an entry's heartbeats cost at most 1.5 KB a second."""
     assert heartbeat_interval(20) == 1_000.0
     for connections in (100, 168, 2_900):
         assert connections * 60 / (heartbeat_interval(connections) / 1000.0) <= 1_500.0 + 1e-6
--- a/packages/core/tests/test_rendezvous.py
+++ b/packages/core/tests/test_rendezvous.py
@@ -11,8 +11,10 @@
 
 
 @given(key=st.text(), nodes=st.lists(st.text(min_size=1), unique=True), data=st.data())
-def test_order_depends_on_the_set_alone(key: str, nodes: list[str], data: st.DataObject) -> None:
-    """However the nodes are listed, the order is the same and begins with the owner."""
+def test_order_depends_only_on_the_set_of_nodes(
+    key: str, nodes: list[str], data: st.DataObject
+) -> None:
+    """For any order of the nodes the ranking is the same and begins with the owner."""
     shuffled = data.draw(st.permutations(nodes))
     order = rank(key, nodes)
     assert rank(key, shuffled) == order
@@ -21,14 +23,17 @@
 
 
 @given(key=st.text(), gone=st.sampled_from(NODES))
-def test_a_node_that_goes_moves_only_its_own_keys(key: str, gone: str) -> None:
-    """The order of the nodes that stay does not change when one goes."""
+def test_a_node_that_leaves_moves_only_its_own_keys(key: str, gone: str) -> None:
+    """The ranking of the remaining nodes does not change when one leaves."""
     rest = [node for node in NODES if node != gone]
     assert rank(key, rest) == [node for node in rank(key, NODES) if node != gone]
 
 
 def test_keys_spread_evenly() -> None:
-    """Of 20,000 keys each of 50 nodes owns its share of 400 within a fifth (four deviations)."""
+    """Each of 50 nodes owns its share of 400 of 20,000 keys within a fifth.
+
+    A fifth is four standard deviations.
+    """
     counts = dict.fromkeys(NODES, 0)
     for n in range(20_000):
         counts[owner(f"key-{n}", NODES) or ""] += 1
--- a/packages/core/tests/test_retry.py
+++ b/packages/core/tests/test_retry.py
@@ -1,4 +1,4 @@
-"""Retries: never twice what must run once, and never a flood."""
+"""Retries: never of requests that must run at most once, and limited by a budget."""
 
 from __future__ import annotations
 
@@ -36,16 +36,20 @@
         (FULL, False, 1, 10_000.0, False, True),
     ],
 )
-def test_who_may_be_retried(
+def test_which_failures_may_be_retried(
     failure: Failure, idempotent: bool, attempt: int, deadline: float, sent: bool, allowed: bool
 ) -> None:
-    """Only not run or idempotent, before the first byte, in time, at most three attempts."""
+    """Only attempts that did not run or are idempotent are retried, within the other limits.
+
+    The caller must have received no byte, the deadline must allow it, and there are at most three
+    attempts.
+    """
     policy = make_retry_policy(ManualClock())
     assert policy.may_retry(failure, idempotent, attempt, deadline, sent, 0.0) is allowed
 
 
-def test_when_every_request_fails_retries_add_a_tenth() -> None:
-    """Of 2,000 requests that all fail at most 200 are retried, beyond the reserve of 10."""
+def test_retries_add_a_tenth_when_every_request_fails() -> None:
+    """Of 2,000 requests that all fail, at most 200 are retried, plus the reserve of 10."""
     policy = make_retry_policy(ManualClock())
     retried = 0
     for n in range(2_000):
@@ -54,8 +58,8 @@
     assert 190 <= retried <= 210
 
 
-def test_an_overloaded_pool_gets_no_retries_and_soon_after_it_does() -> None:
-    """With half of the requests refused for overload none is retried; 20 s later one is."""
+def test_an_overloaded_pool_receives_no_retries_until_it_recovers() -> None:
+    """If half of the requests are refused for overload, none is retried; 20 s later one is."""
     clock = ManualClock()
     policy = make_retry_policy(clock)
     late = 0
@@ -73,11 +77,11 @@
 
 
 def test_delays_are_random_and_bounded() -> None:
-    """Retries of a lost upstream's requests spread instead of coming together."""
+    """Delays of a lost upstream's requests differ, so that their retries are not simultaneous."""
     policy = make_retry_policy(ManualClock())
     rng = Random(1)
     delays = [policy.delay(attempt, rng) for attempt in (1, 2, 9) for _ in range(50)]
     assert len(set(delays)) == 150
     assert min(delays) >= 0.0 and max(delays) <= 500.0
-    wait = policy.retry_after(FULL, rng)
-    assert wait is not None and 1_000.0 <= wait <= 1_500.0
+    retry_after = policy.retry_after(FULL, rng)
+    assert retry_after is not None and 1_000.0 <= retry_after <= 1_500.0
--- a/packages/core/tests/test_subsets.py
+++ b/packages/core/tests/test_subsets.py
@@ -1,4 +1,4 @@
-"""Subsets: which entry connects to which sidecars."""
+"""Subsets: the sidecars that each entry connects to."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def assignment(entries: int, sidecars: int) -> dict[str, list[str]]:
-    """Return the assignment of a fresh fleet."""
+    """Return the assignment computed from scratch for a fleet."""
     subsets = make_subsets()
     subsets.set_members(
         [f"entry-{n}" for n in range(entries)], [f"up-{n}" for n in range(sidecars)]
@@ -19,13 +19,13 @@
     return subsets.all()
 
 
-def cover(assigned: dict[str, list[str]]) -> Counter[str]:
-    """Count the entries of each sidecar."""
+def entries_per_sidecar(assigned: dict[str, list[str]]) -> Counter[str]:
+    """Return the number of entries of each sidecar."""
     return Counter(host for hosts in assigned.values() for host in hosts)
 
 
-def test_small_site_connects_all_to_all() -> None:
-    """With nine sidecars every entry takes all of them."""
+def test_small_site_is_a_full_mesh() -> None:
+    """With nine sidecars every entry connects to all of them."""
     assert {len(hosts) for hosts in assignment(3, 9).values()} == {9}
 
 
@@ -33,7 +33,7 @@
     """With 380 entries and 414 sidecars of a model each sidecar has 20 to 24 entries."""
     assigned = assignment(380, 414)
     assert {len(hosts) for hosts in assigned.values()} == {24}
-    counts = cover(assigned)
+    counts = entries_per_sidecar(assigned)
     assert len(counts) == 414
     assert 20 <= min(counts.values()) <= max(counts.values()) <= 24
 
@@ -43,20 +43,20 @@
 def test_every_sidecar_has_entries_and_every_entry_has_sidecars(
     entries: int, sidecars: int
 ) -> None:
-    """No sidecar idles for want of entries at any size; an entry exceeds its size by few."""
+    """At any size no sidecar lacks entries, and a subset exceeds its size by at most two."""
     assigned = assignment(entries, sidecars)
     size = subset_size(entries, sidecars)
     assert all(len(set(hosts)) == len(hosts) for hosts in assigned.values())
     assert all(size <= len(hosts) <= size + 2 for hosts in assigned.values())
-    counts = cover(assigned)
+    counts = entries_per_sidecar(assigned)
     assert len(counts) == sidecars
     assert min(counts.values()) >= min(entries, 3)
 
 
 @settings(max_examples=30, deadline=None)
 @given(changes=st.lists(st.integers(0, 39), max_size=12))
-def test_changes_lead_where_a_fresh_start_leads(changes: list[int]) -> None:
-    """An entry that saw members come and go agrees with one that started just now."""
+def test_incremental_changes_agree_with_a_fresh_start(changes: list[int]) -> None:
+    """An entry that saw members join and leave computes the same assignment as a new one."""
     sidecars = [f"up-{n}" for n in range(120)]
     entries = {f"entry-{n}" for n in range(30)}
     subsets = make_subsets()
