--- a/packages/core/src/carobspool_core/_gossip.py
+++ b/packages/core/src/carobspool_core/_gossip.py
@@ -97,7 +97,7 @@
     Since 0.1.
     """
 
-    __slots__ = ("_balance", "_refilled_at", "_dropped", "_rng", "_seen")
+    __slots__ = ("_balance", "_dropped", "_refilled_at", "_rng", "_seen")
 
     def __init__(self, clock: Clock, rng: Random) -> None:
         self._rng = rng
--- a/packages/core/src/carobspool_core/_item_retry.py
+++ b/packages/core/src/carobspool_core/_item_retry.py
@@ -60,9 +60,9 @@
 ) -> ItemRetry | None:
     """Return how to retry an item, or ``None`` if the outcome is its result.
 
-    Attempts that did not run are repeated without limit. A non-idempotent item that may have run
-    ends as an error. An item that fails at every upstream, or crashes every upstream that runs it,
-    ends as an error after ``max_attempts``, so that its job still completes.
+    Only attempts that did not run are repeated regardless of idempotence. A non-idempotent item
+    that may have run ends as an error. An item that fails at every upstream, or crashes every
+    upstream that runs it, ends as an error after ``max_attempts``, so that its job still completes.
 
     Args:
         item: The item.
--- a/packages/core/src/carobspool_core/_membership.py
+++ b/packages/core/src/carobspool_core/_membership.py
@@ -52,7 +52,7 @@
     Since 0.1.
     """
 
-    __slots__ = ("_clock", "_interval", "_last_seen", "_lost", "_active_time", "_advanced_at")
+    __slots__ = ("_active_time", "_advanced_at", "_clock", "_interval", "_last_seen", "_lost")
 
     def __init__(self, clock: Clock, interval: Callable[[int], Millis]) -> None:
         self._clock = clock
