--- a/packages/core/src/carobspool_core/__init__.pyi
+++ b/packages/core/src/carobspool_core/__init__.pyi
@@ -128,11 +128,19 @@
 from ._suspect_records import SuspectChange, Verdict, VerdictKind
 from ._suspects import Suspects, make_suspects
 from ._tickets import QueueBounds, Ticket
-from ._work import AdmissionMode, AdmissionSettings, AdmissionSnapshot, Decision, Work
+from ._work import (
+    AdmissionDecision,
+    AdmissionMode,
+    AdmissionRequest,
+    AdmissionSettings,
+    AdmissionSnapshot,
+)
 
 __all__ = [
     "Admission",
+    "AdmissionDecision",
     "AdmissionMode",
+    "AdmissionRequest",
     "AdmissionSettings",
     "AdmissionSnapshot",
     "Attach",
@@ -153,7 +161,6 @@
     "Clock",
     "Configuration",
     "Data",
-    "Decision",
     "DeclaredEngine",
     "Demand",
     "DesiredState",
@@ -247,11 +254,11 @@
     "VerdictKind",
     "WatchBatch",
     "WeightStoreLimits",
-    "Work",
     "add_counts",
     "audit_from_json",
     "audit_to_json",
     "blocked_model_loads",
+    "boottime_clock",
     "broken_upstream",
     "cancel_job",
     "chunk_bytes",
@@ -285,7 +292,6 @@
     "make_subsets",
     "make_suspect_gate",
     "make_suspects",
-    "boottime_clock",
     "monotonic_clock",
     "next_order",
     "organisation_digest",
--- a/packages/core/src/carobspool_core/_admission.py
+++ b/packages/core/src/carobspool_core/_admission.py
@@ -21,8 +21,7 @@
 from returns.result import Failure as Failed
 from returns.result import Result, Success
 
-from carobspool_core._admission_steps import SlotAllocator
-from carobspool_core._batchqueue import BatchQueue, Waiting
+from carobspool_core._batchqueue import BatchQueue, QueuedRequest
 from carobspool_core._clock import Clock, Millis
 from carobspool_core._config import OnlineSlowdown
 from carobspool_core._fairqueue import FairQueue, make_fair_queue
@@ -31,15 +30,16 @@
 from carobspool_core._pacing import Pacer
 from carobspool_core._refusals import deadline_unreachable, queue_full
 from carobspool_core._servicetime import ServiceTime
+from carobspool_core._slot_allocator import SlotAllocator
 from carobspool_core._streams import Stream, Streams
 from carobspool_core._suspect_queue import SuspectQueue
 from carobspool_core._tickets import Ticket
 from carobspool_core._work import (
+    AdmissionDecision,
     AdmissionMode,
+    AdmissionRequest,
     AdmissionSettings,
     AdmissionSnapshot,
-    Decision,
-    Work,
 )
 
 
@@ -55,7 +55,7 @@
         self._settings = settings
         self._clock = clock
         self._streams = Streams()
-        self._online: FairQueue[Waiting] = make_fair_queue(settings.online_bounds)
+        self._online: FairQueue[QueuedRequest] = make_fair_queue(settings.online_bounds)
         self._suspects = SuspectQueue(settings.online_bounds.per_caller)
         self._batch = BatchQueue()
         self._pacer = _make_pacer(settings)
@@ -84,7 +84,7 @@
         self._settings = settings
         self._allocator.reconfigure(settings, self._pacer)
 
-    def offer(self, work: Work) -> Result[None, Failure]:
+    def offer(self, work: AdmissionRequest) -> Result[None, Failure]:
         """Queue a request.
 
         Args:
@@ -94,32 +94,32 @@
             ``None`` if the request was queued, or the refusal to send to its caller immediately.
         """
         now = self._clock.now()
-        waiting = Waiting(work=work, offered=now, tokens=work.resume_tokens)
+        waiting = QueuedRequest(work=work, submitted_at=now, tokens=work.resume_tokens)
         ticket = self._ticket(waiting, now)
         if work.deadline < now:
             return Failed(deadline_unreachable(now - work.deadline))
         if work.suspect:
-            return Success(None) if self._suspects.push(waiting) else Failed(queue_full(0.0))
+            return Success(None) if self._suspects.try_push(waiting) else Failed(queue_full(0.0))
         if work.priority is Priority.BATCH:
             return self._batch.fresh.push(ticket, now).map(lambda _: None)
         self._pacer.record_arrival(now)
         self._online.set_rate(self._service_time.tokens_per_ms(self._settings.slots))
         return self._online.push(ticket, now).map(self._refuse_evicted)
 
-    def next(self, now: Millis) -> Decision:
+    def decide(self, now: Millis) -> AdmissionDecision:
         """Return what to do at ``now``; call it after every event and at ``wake_at``."""
         self._refuse_expired(now)
         refuse = tuple(self._refused)
         self._refused.clear()
         start, preempt = self._allocator.decide(now)
         wake_at = self._wake_at(now)
-        return Decision(start=start, preempt=preempt, refuse=refuse, wake_at=wake_at)
+        return AdmissionDecision(start=start, preempt=preempt, refuse=refuse, wake_at=wake_at)
 
-    def first_token(self, id: RequestId, now: Millis) -> None:
+    def record_first_token(self, id: RequestId, now: Millis) -> None:
         """Record the first token of a request since it was started."""
-        self.token(id, now)
+        self.record_tokens(id, now)
 
-    def token(self, id: RequestId, now: Millis, count: int = 1) -> None:
+    def record_tokens(self, id: RequestId, now: Millis, count: int = 1) -> None:
         """Record tokens of a request.
 
         Args:
@@ -138,19 +138,19 @@
         if step is not None:
             self._pacer.record_step(step)
         stream.tokens += count
-        stream.last_token = now
+        stream.last_token_at = now
         self._streams.end_prefill(stream)
 
-    def finished(self, id: RequestId, now: Millis) -> None:
+    def record_end(self, id: RequestId, now: Millis) -> None:
         """Record that a request has ended at the upstream, successfully or not."""
         stream = self._remove_stream(id, now)
-        if stream is not None and stream.is_online and stream.last_token is not None:
+        if stream is not None and stream.is_online and stream.last_token_at is not None:
             work = stream.work
             self._service_time.record_completion(
-                now - stream.started, work.cost_tokens, work.prompt_tokens
+                now - stream.started_at, work.cost_tokens, work.prompt_tokens
             )
 
-    def cancelled(self, id: RequestId, now: Millis) -> None:
+    def cancel(self, id: RequestId, now: Millis) -> None:
         """Remove a request that its caller cancelled, whether it waits or runs."""
         if self._remove_stream(id, now) is not None:
             return
@@ -158,35 +158,37 @@
             return
         self._suspects.remove(id)
 
-    def preempted(self, id: RequestId, now: Millis, kept_tokens: int, kept: bool) -> None:
+    def requeue_preempted(
+        self, id: RequestId, now: Millis, received_tokens: int, kv_kept: bool
+    ) -> None:
         """Record that a request was preempted, and queue it again ahead of new batch requests.
 
         Args:
             id: The request.
             now: When the request was cancelled at the upstream.
-            kept_tokens: Number of answer tokens that it has received so far.
-            kept: Whether the upstream keeps the request's KV cache.
+            received_tokens: Number of answer tokens that it has received so far.
+            kv_kept: Whether the upstream keeps the request's KV cache.
         """
         stream = self._remove_stream(id, now)
         if stream is None:
             return
-        waiting = Waiting(
+        waiting = QueuedRequest(
             work=stream.work,
-            offered=stream.offered,
-            tokens=kept_tokens,
-            kept=kept,
+            submitted_at=stream.submitted_at,
+            tokens=received_tokens,
+            kv_kept=kv_kept,
             preemptions=stream.preemptions + 1,
         )
         if stream.work.suspect:
-            self._suspects.put_back(waiting)
+            self._suspects.requeue(waiting)
             return
-        self._batch.put_back(waiting)
+        self._batch.requeue(waiting)
 
     def batch_credits(self, now: Millis) -> int:
         """Return how many further batch requests the entries may send."""
         settings = self._settings
         if settings.mode is not AdmissionMode.POLICY:
-            held = self._streams.batch + len(self._batch)
+            held = self._streams.batch_count + len(self._batch)
             return max(0, settings.slots + settings.batch_backlog - held)
         free = max(0, settings.slots - len(self._streams) - self._batch.parked)
         return max(0, settings.batch_backlog + free - len(self._batch.fresh))
@@ -195,20 +197,20 @@
         """Return the current state."""
         running = sum(stream.work.cost_tokens for stream in self._streams)
         return AdmissionSnapshot(
-            running_online=self._streams.online,
-            running_batch=self._streams.batch,
+            running_online=self._streams.online_count,
+            running_batch=self._streams.batch_count,
             queued_online=len(self._online) + len(self._suspects),
             queued_batch=len(self._batch),
             parked=self._batch.parked,
             tokens=int(running + self._suspects.cost + self._online.cost + self._batch.cost),
             first_token_ewma=self._service_time.first_token_ewma,
             between_tokens_ewma=self._service_time.between_tokens_ewma,
-            width=self._allocator.width(now),
+            batch_limit=self._allocator.batch_limit(now),
             prompt_starts=self._allocator.prompt_starts,
             preemptions=self._allocator.preemptions,
         )
 
-    def _ticket(self, waiting: Waiting, now: Millis) -> Ticket[Waiting]:
+    def _ticket(self, waiting: QueuedRequest, now: Millis) -> Ticket[QueuedRequest]:
         work = waiting.work
         start_by = work.deadline
         if work.priority is Priority.ONLINE:
@@ -224,7 +226,7 @@
             item=waiting,
         )
 
-    def _refuse_evicted(self, tickets: tuple[Ticket[Waiting], ...]) -> None:
+    def _refuse_evicted(self, tickets: tuple[Ticket[QueuedRequest], ...]) -> None:
         for ticket in tickets:
             wait = self._online.predicted_wait(ticket.caller, ticket.weight)
             self._refused.append((ticket.id, queue_full(wait)))
@@ -246,11 +248,11 @@
         return stream
 
     def _record_token_time(self, stream: Stream, now: Millis, count: int) -> None:
-        if stream.last_token is None:
-            self._service_time.record_first_token(now - stream.offered)
+        if stream.last_token_at is None:
+            self._service_time.record_first_token(now - stream.submitted_at)
             self._pacer.interference.record_first_token(stream.work.id)
             return
-        self._service_time.record_token_gap((now - stream.last_token) / count)
+        self._service_time.record_token_gap((now - stream.last_token_at) / count)
 
     def _wake_at(self, now: Millis) -> Millis | None:
         instants = [
@@ -276,7 +278,7 @@
     return Admission(settings, clock)
 
 
-def _expiry_refusal(waiting: Waiting, now: Millis) -> Failure:
+def _expiry_refusal(waiting: QueuedRequest, now: Millis) -> Failure:
     if waiting.tokens == 0 and waiting.preemptions == 0:
         return deadline_unreachable(now - waiting.work.deadline)
     # The request was sent to the upstream before. Reported as not run, it would be retried without
--- a/packages/core/src/carobspool_core/_batchqueue.py
+++ b/packages/core/src/carobspool_core/_batchqueue.py
@@ -14,44 +14,44 @@
 from carobspool_core._fairqueue import FairQueue, make_fair_queue
 from carobspool_core._messages import RequestId
 from carobspool_core._tickets import QueueBounds
-from carobspool_core._work import Work
+from carobspool_core._work import AdmissionRequest
 
 _UNBOUNDED = 1 << 30
 """Credits limit what entries send to the sidecar, so the queue itself refuses no request."""
 
 
 @dataclass(slots=True, kw_only=True)
-class Waiting:
-    """A waiting request.
+class QueuedRequest:
+    """A queued request.
 
     Attributes:
         work: The request as offered.
-        offered: When the request was offered.
+        submitted_at: When the request was submitted.
         tokens: Number of answer tokens received so far.
-        kept: Whether the upstream keeps its KV cache, so that resuming it needs no prefill.
+        kv_kept: Whether the upstream keeps its KV cache, so that resuming it needs no prefill.
         preemptions: How often the request was preempted.
     """
 
-    work: Work
-    offered: Millis
+    work: AdmissionRequest
+    submitted_at: Millis
     tokens: int = 0
-    kept: bool = False
+    kv_kept: bool = False
     preemptions: int = 0
 
     @property
     def prefill_tokens(self) -> int:
         """Tokens to compute before the request's next token."""
-        return 0 if self.kept else self.work.prompt_tokens + self.tokens
+        return 0 if self.kv_kept else self.work.prompt_tokens + self.tokens
 
 
 class BatchQueue:
-    """Waiting batch requests, in the order in which they start."""
+    """Queued batch requests, in the order in which they start."""
 
     def __init__(self) -> None:
         bounds = QueueBounds(total=_UNBOUNDED, per_caller=_UNBOUNDED)
-        self.fresh: FairQueue[Waiting] = make_fair_queue(bounds)
-        self._parked: OrderedDict[RequestId, Waiting] = OrderedDict()
-        self._without_kv: OrderedDict[RequestId, Waiting] = OrderedDict()
+        self.fresh: FairQueue[QueuedRequest] = make_fair_queue(bounds)
+        self._parked: OrderedDict[RequestId, QueuedRequest] = OrderedDict()
+        self._without_kv: OrderedDict[RequestId, QueuedRequest] = OrderedDict()
         self._preempted_cost = 0
 
     def __len__(self) -> int:
@@ -67,31 +67,31 @@
         """Estimated tokens of all waiting requests."""
         return self.fresh.cost + self._preempted_cost
 
-    def put_back(self, waiting: Waiting) -> None:
+    def requeue(self, waiting: QueuedRequest) -> None:
         """Queue a preempted request ahead of new requests."""
-        queue = self._parked if waiting.kept else self._without_kv
+        queue = self._parked if waiting.kv_kept else self._without_kv
         queue[waiting.work.id] = waiting
         self._preempted_cost += waiting.work.cost_tokens
 
-    def pop_parked(self) -> Waiting | None:
+    def pop_parked(self) -> QueuedRequest | None:
         """Remove and return the parked request that has waited longest, or ``None``."""
         return self._pop_oldest(self._parked)
 
-    def peek_prefill(self) -> Waiting | None:
+    def peek_prefill(self) -> QueuedRequest | None:
         """Return the next request that needs prefill, without removing it, or ``None``."""
         if self._without_kv:
             return next(iter(self._without_kv.values()))
         ticket = self.fresh.peek()
         return None if ticket is None else ticket.item
 
-    def pop_prefill(self) -> Waiting | None:
+    def pop_prefill(self) -> QueuedRequest | None:
         """Remove and return the next request that needs prefill, or ``None``."""
         if self._without_kv:
             return self._pop_oldest(self._without_kv)
         ticket = self.fresh.pop()
         return None if ticket is None else ticket.item
 
-    def remove(self, id: RequestId) -> Waiting | None:
+    def remove(self, id: RequestId) -> QueuedRequest | None:
         """Remove and return a cancelled request; ``None`` if it is not queued here."""
         for queue in (self._parked, self._without_kv):
             waiting = queue.pop(id, None)
@@ -101,7 +101,7 @@
         ticket = self.fresh.remove(id)
         return None if ticket is None else ticket.item
 
-    def expire(self, now: Millis) -> list[Waiting]:
+    def expire(self, now: Millis) -> list[QueuedRequest]:
         """Remove and return all requests whose deadline has passed."""
         expired = [ticket.item for ticket in self.fresh.expire(now)]
         for queue in (self._parked, self._without_kv):
@@ -111,7 +111,7 @@
                 expired.append(waiting)
         return expired
 
-    def _pop_oldest(self, queue: OrderedDict[RequestId, Waiting]) -> Waiting | None:
+    def _pop_oldest(self, queue: OrderedDict[RequestId, QueuedRequest]) -> QueuedRequest | None:
         if not queue:
             return None
         _, waiting = queue.popitem(last=False)
--- a/packages/core/src/carobspool_core/_load_estimate.py
+++ b/packages/core/src/carobspool_core/_load_estimate.py
@@ -21,20 +21,20 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Flight:
+class InFlightRequest:
     """A request of this entry in flight at an upstream.
 
     Attributes:
         target: Model or service.
         cost_tokens: Estimated tokens, prompt and answer together.
-        started: When the request was sent.
+        started_at: When the request was sent.
         priority: Online or batch.
         suspect: Whether the request is suspected of crashing upstreams.
     """
 
     target: str
     cost_tokens: int
-    started: Millis
+    started_at: Millis
     priority: Priority
     suspect: bool
 
@@ -63,7 +63,7 @@
 
     def __init__(self, *, lag_correction: bool = True) -> None:
         self._lag_correction = lag_correction
-        self._flights: dict[Hashable, Flight] = {}
+        self._flights: dict[Hashable, InFlightRequest] = {}
         self._local_tokens = 0
         self._reported_tokens = 0
         self._reported_requests = 0
@@ -97,7 +97,7 @@
         """Number of this entry's suspected requests at the upstream."""
         return self._suspects
 
-    def observe(self, load: Load, now: Millis) -> None:
+    def apply_report(self, load: Load, now: Millis) -> None:
         """Apply a report that arrived at ``now``."""
         self._reported_tokens = load.tokens
         self._reported_requests = load.running + load.queued
@@ -106,18 +106,18 @@
         self._requests_since_report = 0
         self._batch_since_report = 0
         for flight in reversed(self._flights.values()):
-            if flight.started <= now - REPORT_LAG:
+            if flight.started_at <= now - REPORT_LAG:
                 break
             self._adjust_counts(flight, 1)
 
-    def start(self, id: Hashable, flight: Flight) -> None:
+    def add_request(self, id: Hashable, flight: InFlightRequest) -> None:
         """Add a request sent to the upstream."""
         self._flights[id] = flight
         self._local_tokens += flight.cost_tokens
         self._suspects += flight.suspect
         self._adjust_counts(flight, 1)
 
-    def end(self, id: Hashable) -> Flight | None:
+    def remove_request(self, id: Hashable) -> InFlightRequest | None:
         """Remove and return a request; ``None`` if it is unknown."""
         flight = self._flights.pop(id, None)
         if flight is None:
@@ -128,11 +128,11 @@
         self._requests_since_report -= 1
         return flight
 
-    def flight(self, id: Hashable) -> Flight | None:
+    def get_request(self, id: Hashable) -> InFlightRequest | None:
         """Return a request in flight; ``None`` if it is unknown."""
         return self._flights.get(id)
 
-    def _adjust_counts(self, flight: Flight, sign: int) -> None:
+    def _adjust_counts(self, flight: InFlightRequest, sign: int) -> None:
         self._tokens_since_report += sign * flight.cost_tokens
         self._requests_since_report += sign
         if flight.priority is Priority.BATCH:
--- a/packages/core/src/carobspool_core/_pacing.py
+++ b/packages/core/src/carobspool_core/_pacing.py
@@ -21,7 +21,7 @@
 
 from carobspool_core._clock import Millis
 from carobspool_core._config import OnlineSlowdown
-from carobspool_core._harm import QUANTILE, InterferenceMeter
+from carobspool_core._interference import QUANTILE, InterferenceMeter
 from carobspool_core._messages import RequestId
 from carobspool_core._replay import Replay
 from carobspool_core._stepmodel import Step, StepModel
@@ -96,10 +96,16 @@
         if gap < _MAX_ARRIVAL_GAP:
             self._mean_gap += 0.1 * (gap - self._mean_gap)
 
-    def record_start(self, id: RequestId, prompt_tokens: int, offered: Millis) -> None:
-        """Record that an online request, offered at ``offered``, was sent to the upstream."""
-        self._replay.arrived(id, prompt_tokens, offered)
-        self._interference.record_offer(id, offered)
+    def record_start(self, id: RequestId, prompt_tokens: int, submitted_at: Millis) -> None:
+        """Record that an online request was sent to the upstream.
+
+        Args:
+            id: The request.
+            prompt_tokens: Estimated prompt tokens.
+            submitted_at: When the request was submitted to admission.
+        """
+        self._replay.arrived(id, prompt_tokens, submitted_at)
+        self._interference.record_offer(id, submitted_at)
 
     def record_end(self, id: RequestId, tokens: int) -> None:
         """Record the end of an online request that received ``tokens`` answer tokens."""
@@ -130,7 +136,7 @@
         """Return when the current burst counts as over if no further request arrives."""
         return self._last_arrival + _BURST_END_GAPS * self._mean_gap
 
-    def width(self, now: Millis) -> int:
+    def batch_limit(self, now: Millis) -> int:
         """Return how many batch streams may run next to online requests."""
         if not self.in_burst(now):
             return self._slots
@@ -147,9 +153,9 @@
         """Return whether a batch prompt may start next to online requests."""
         if not self._steps.is_ready:
             return now >= self._no_prompt_until
-        if streams.batch_prefill or streams.online_prefill:
+        if streams.batch_prefill_tokens or streams.online_prefill_tokens:
             return False
-        return self._budget >= _START_COST_FACTOR * max(1, streams.online)
+        return self._budget >= _START_COST_FACTOR * max(1, streams.online_count)
 
     def record_prompt_start(self, now: Millis) -> None:
         """Record that a batch prompt was started."""
--- a/packages/core/src/carobspool_core/_pools.py
+++ b/packages/core/src/carobspool_core/_pools.py
@@ -6,7 +6,7 @@
 
 from carobspool_core._clock import Millis
 from carobspool_core._ejection import Ejector
-from carobspool_core._load_estimate import Flight, LoadEstimate
+from carobspool_core._load_estimate import InFlightRequest, LoadEstimate
 from carobspool_core._messages import Load, SidecarState
 from carobspool_core._route_types import Target
 
@@ -44,7 +44,7 @@
     def observe(self, load: Load, now: Millis) -> None:
         """Apply a load report."""
         before = self.estimate.tokens
-        self.estimate.observe(load, now)
+        self.estimate.apply_report(load, now)
         if self.lost or self.state is not load.state or self.ready != load.targets:
             self.state = load.state
             self.ready = load.targets
@@ -52,20 +52,20 @@
             self.mark_pools_stale()
         self._update_pool_tokens(self.estimate.tokens - before)
 
-    def start(self, id: Hashable, flight: Flight) -> None:
+    def start(self, id: Hashable, flight: InFlightRequest) -> None:
         """Add a request to the load estimate."""
         before = self.estimate.tokens
-        self.estimate.start(id, flight)
+        self.estimate.add_request(id, flight)
         self._update_pool_tokens(self.estimate.tokens - before)
 
-    def end(self, id: Hashable) -> Flight | None:
+    def end(self, id: Hashable) -> InFlightRequest | None:
         """Remove a request from the load estimate.
 
         Returns:
             The request, or ``None`` if the id is unknown.
         """
         before = self.estimate.tokens
-        flight = self.estimate.end(id)
+        flight = self.estimate.remove_request(id)
         self._update_pool_tokens(self.estimate.tokens - before)
         return flight
 
--- a/packages/core/src/carobspool_core/_victims.py
+++ b/packages/core/src/carobspool_core/_preemption_choice.py
@@ -40,7 +40,7 @@
 
 def _preemption_cost(stream: Stream, *, keep_kv: bool) -> tuple[float, ...]:
     if stream.is_prefilling:
-        return (0.0, -stream.started)
+        return (0.0, -stream.started_at)
     held = stream.work.prompt_tokens + stream.tokens
     if keep_kv:
         return (1.0, stream.preemptions, held)
--- a/packages/core/src/carobspool_core/_routing.py
+++ b/packages/core/src/carobspool_core/_routing.py
@@ -19,7 +19,7 @@
 from returns.result import Result, Success
 
 from carobspool_core._clock import Clock, Millis
-from carobspool_core._load_estimate import Flight
+from carobspool_core._load_estimate import InFlightRequest
 from carobspool_core._messages import Load, Priority
 from carobspool_core._outcome import Failure, invalid_request, unavailable
 from carobspool_core._pools import Pool, PooledUpstream
@@ -178,8 +178,8 @@
         if upstream is None:
             return
         name = target if target is not None else _default_target(upstream.declared)
-        flight = Flight(
-            target=name, cost_tokens=cost_tokens, started=now, priority=priority, suspect=suspect
+        flight = InFlightRequest(
+            target=name, cost_tokens=cost_tokens, started_at=now, priority=priority, suspect=suspect
         )
         had_free_slot = upstream.has_free_slot
         upstream.start(id, flight)
@@ -192,7 +192,7 @@
     def first_token(self, host: str, id: Hashable, now: Millis) -> None:
         """Record the first token of an answer."""
         upstream = self._upstreams.get(host)
-        flight = upstream.estimate.flight(id) if upstream is not None else None
+        flight = upstream.estimate.get_request(id) if upstream is not None else None
         if flight is None or flight.priority is not Priority.ONLINE:
             return
         pool = self._pools.get(flight.target)
--- a/packages/core/src/carobspool_core/_admission_steps.py
+++ b/packages/core/src/carobspool_core/_slot_allocator.py
@@ -8,14 +8,14 @@
 
 from __future__ import annotations
 
-from carobspool_core._batchqueue import BatchQueue, Waiting
+from carobspool_core._batchqueue import BatchQueue, QueuedRequest
 from carobspool_core._clock import Millis
 from carobspool_core._fairqueue import FairQueue
 from carobspool_core._messages import RequestId
 from carobspool_core._pacing import Pacer
+from carobspool_core._preemption_choice import choose_victim
 from carobspool_core._streams import Stream, Streams
 from carobspool_core._suspect_queue import SuspectQueue
-from carobspool_core._victims import choose_victim
 from carobspool_core._work import AdmissionMode, AdmissionSettings
 
 _ONLINE_PRESENCE: Millis = 200.0
@@ -33,7 +33,7 @@
         settings: AdmissionSettings,
         *,
         streams: Streams,
-        online: FairQueue[Waiting],
+        online: FairQueue[QueuedRequest],
         suspects: SuspectQueue,
         batch: BatchQueue,
         pacer: Pacer,
@@ -74,18 +74,18 @@
         return [*self._pacer.wake_at(), self._online_present_until]
 
     def _start_suspect(self, now: Millis) -> None:
-        if not len(self._suspects) or self._streams.suspects:
+        if not len(self._suspects) or self._streams.suspect_count:
             return
-        if self._free_slots() <= 0 and not (self._suspects.online and self._preempt_one()):
+        if self._free_slots() <= 0 and not (self._suspects.has_online and self._preempt_one()):
             return
         suspect = self._suspects.pop(batch=self._may_start_prompt(now))
         if suspect is not None:
             self._start(suspect, now)
 
     def _may_start_prompt(self, now: Millis) -> bool:
-        if self._streams.batch >= self.width(now):
+        if self._streams.batch_count >= self.batch_limit(now):
             return False
-        if not self._online_present(now) or not self._settings.paced:
+        if not self._online_present(now) or not self._settings.pace_batch_prompts:
             return True
         return self._pacer.may_start_prompt(self._streams, now)
 
@@ -110,29 +110,29 @@
     def _preempt_excess_batch(self, now: Millis) -> None:
         if not self._settings.keep_kv or not self._online_present(now):
             return
-        while self._streams.batch > self.width(now) and self._preempt_one():
+        while self._streams.batch_count > self.batch_limit(now) and self._preempt_one():
             continue
 
     def _start_batch(self, now: Millis) -> None:
-        while self._streams.batch < self.width(now):
+        while self._streams.batch_count < self.batch_limit(now):
             waiting = self._next_batch(now)
             if waiting is None:
                 return
             self._start(waiting, now)
 
-    def width(self, now: Millis) -> int:
+    def batch_limit(self, now: Millis) -> int:
         """Return how many batch streams may run at ``now``."""
         settings = self._settings
         if settings.mode is AdmissionMode.STRAIGHT:
             return settings.slots + settings.batch_backlog
         if settings.mode is AdmissionMode.CAP:
-            return settings.cap
-        width = max(0, settings.slots - self._streams.online)
-        if settings.paced and self._online_present(now):
-            return min(width, self._pacer.width(now))
-        return width
+            return settings.batch_cap
+        free = max(0, settings.slots - self._streams.online_count)
+        if settings.pace_batch_prompts and self._online_present(now):
+            return min(free, self._pacer.batch_limit(now))
+        return free
 
-    def _next_batch(self, now: Millis) -> Waiting | None:
+    def _next_batch(self, now: Millis) -> QueuedRequest | None:
         parked = self._batch.pop_parked()
         if parked is not None or self._settings.mode is not AdmissionMode.POLICY:
             return parked or self._batch.pop_prefill()
@@ -140,26 +140,33 @@
             return self._next_without_online()
         return self._batch.pop_prefill() if self._may_start_prompt(now) else None
 
-    def _next_without_online(self) -> Waiting | None:
+    def _next_without_online(self) -> QueuedRequest | None:
         prompt = self._batch.peek_prefill()
         if prompt is None:
             return None
-        in_prefill = self._streams.batch_prefill
-        if in_prefill and in_prefill + prompt.prefill_tokens > self._settings.prefill_tokens:
+        in_prefill = self._streams.batch_prefill_tokens
+        if (
+            in_prefill
+            and in_prefill + prompt.prefill_tokens > self._settings.max_batch_prefill_tokens
+        ):
             return None
         return self._batch.pop_prefill()
 
     def _online_present(self, now: Millis) -> bool:
-        return self._streams.online > 0 or len(self._online) > 0 or now < self._online_present_until
+        return (
+            self._streams.online_count > 0
+            or len(self._online) > 0
+            or now < self._online_present_until
+        )
 
     def _free_slots(self) -> int:
         return self._settings.slots - len(self._streams)
 
-    def _start(self, waiting: Waiting, now: Millis) -> None:
+    def _start(self, waiting: QueuedRequest, now: Millis) -> None:
         stream = Stream(
             work=waiting.work,
-            offered=waiting.offered,
-            started=now,
+            submitted_at=waiting.submitted_at,
+            started_at=now,
             prefill_tokens=waiting.prefill_tokens,
             tokens=waiting.tokens,
             preemptions=waiting.preemptions,
@@ -167,7 +174,9 @@
         self._streams.add(stream)
         self._pacer.steps.record_start(now)
         if stream.is_online:
-            self._pacer.record_start(waiting.work.id, waiting.work.prompt_tokens, waiting.offered)
+            self._pacer.record_start(
+                waiting.work.id, waiting.work.prompt_tokens, waiting.submitted_at
+            )
         elif stream.is_prefilling:
             self._pacer.record_prompt_start(now)
             self.prompt_starts += 1
--- a/packages/core/src/carobspool_core/_streams.py
+++ b/packages/core/src/carobspool_core/_streams.py
@@ -7,7 +7,7 @@
 
 from carobspool_core._clock import Millis
 from carobspool_core._messages import Priority, RequestId
-from carobspool_core._work import Work
+from carobspool_core._work import AdmissionRequest
 
 
 @dataclass(slots=True, kw_only=True)
@@ -16,23 +16,24 @@
 
     Attributes:
         work: The request, as submitted to admission.
-        offered: When the request was submitted to admission.
-        started: When the request was sent to the upstream.
+        submitted_at: When the request was submitted to admission.
+        started_at: When the request was sent to the upstream.
         prefill_tokens: Prompt tokens to compute before the first token; 0 once the first token has
             arrived, or when the request was resumed with its KV cache.
         tokens: Number of response tokens generated so far.
-        last_token: When the latest token arrived; ``None`` before the first token since the start.
+        last_token_at: When the latest token arrived; ``None`` before the first token since the
+            start.
         preempting: Whether the request is being cancelled and the upstream has not reported the
             end yet.
         preemptions: Number of earlier preemptions.
     """
 
-    work: Work
-    offered: Millis
-    started: Millis
+    work: AdmissionRequest
+    submitted_at: Millis
+    started_at: Millis
     prefill_tokens: int
     tokens: int
-    last_token: Millis | None = None
+    last_token_at: Millis | None = None
     preempting: bool = False
     preemptions: int = 0
 
@@ -54,23 +55,23 @@
     counted neither as running nor as prefilling.
 
     Attributes:
-        online: Number of running online streams.
-        batch: Number of running batch streams.
-        online_prefill: Prompt tokens that running online streams still have to compute.
-        batch_prefill: Prompt tokens that running batch streams still have to compute.
-        suspects: Number of streams of suspect requests, including those being cancelled.
+        online_count: Number of running online streams.
+        batch_count: Number of running batch streams.
+        online_prefill_tokens: Prompt tokens that running online streams still have to compute.
+        batch_prefill_tokens: Prompt tokens that running batch streams still have to compute.
+        suspect_count: Number of streams of suspect requests, including those being cancelled.
     """
 
     def __init__(self) -> None:
         self._streams: dict[RequestId, Stream] = {}
-        self.online = 0
-        self.batch = 0
-        self.online_prefill = 0
-        self.batch_prefill = 0
-        self.suspects = 0
+        self.online_count = 0
+        self.batch_count = 0
+        self.online_prefill_tokens = 0
+        self.batch_prefill_tokens = 0
+        self.suspect_count = 0
 
     def __len__(self) -> int:
-        return self.online + self.batch
+        return self.online_count + self.batch_count
 
     def __iter__(self) -> Iterator[Stream]:
         return iter(self._streams.values())
@@ -83,14 +84,14 @@
         """Add a stream whose request is sent to the upstream."""
         self._streams[stream.work.id] = stream
         self._count(stream, 1)
-        self.suspects += int(stream.work.suspect)
+        self.suspect_count += int(stream.work.suspect)
 
     def remove(self, id: RequestId) -> Stream | None:
         """Remove and return the stream of a request; ``None`` if there is none."""
         stream = self._streams.pop(id, None)
         if stream is None:
             return None
-        self.suspects -= int(stream.work.suspect)
+        self.suspect_count -= int(stream.work.suspect)
         if not stream.preempting:
             self._count(stream, -1)
         return stream
@@ -108,13 +109,13 @@
 
     def _count(self, stream: Stream, by: int) -> None:
         if stream.is_online:
-            self.online += by
+            self.online_count += by
         else:
-            self.batch += by
+            self.batch_count += by
         self._count_prefill(stream, by)
 
     def _count_prefill(self, stream: Stream, by: int) -> None:
         if stream.is_online:
-            self.online_prefill += by * stream.prefill_tokens
+            self.online_prefill_tokens += by * stream.prefill_tokens
         else:
-            self.batch_prefill += by * stream.prefill_tokens
+            self.batch_prefill_tokens += by * stream.prefill_tokens
--- a/packages/core/src/carobspool_core/_suspect_queue.py
+++ b/packages/core/src/carobspool_core/_suspect_queue.py
@@ -10,7 +10,7 @@
 
 from collections import OrderedDict
 
-from carobspool_core._batchqueue import Waiting
+from carobspool_core._batchqueue import QueuedRequest
 from carobspool_core._clock import Millis
 from carobspool_core._messages import Priority, RequestId
 
@@ -24,7 +24,7 @@
 
     def __init__(self, bound: int) -> None:
         self._bound = bound
-        self._waiting: OrderedDict[RequestId, Waiting] = OrderedDict()
+        self._waiting: OrderedDict[RequestId, QueuedRequest] = OrderedDict()
 
     def __len__(self) -> int:
         return len(self._waiting)
@@ -34,19 +34,19 @@
         """Estimated tokens of all queued suspects."""
         return sum(waiting.work.cost_tokens for waiting in self._waiting.values())
 
-    def push(self, waiting: Waiting) -> bool:
+    def try_push(self, waiting: QueuedRequest) -> bool:
         """Queue a suspect and return ``True``; return ``False`` if the queue is full."""
         if len(self._waiting) >= self._bound:
             return False
         self._waiting[waiting.work.id] = waiting
         return True
 
-    def put_back(self, waiting: Waiting) -> None:
+    def requeue(self, waiting: QueuedRequest) -> None:
         """Queue a preempted suspect at the head."""
         self._waiting[waiting.work.id] = waiting
         self._waiting.move_to_end(waiting.work.id, last=False)
 
-    def pop(self, *, batch: bool) -> Waiting | None:
+    def pop(self, *, batch: bool) -> QueuedRequest | None:
         """Remove and return the next suspect, or return ``None``.
 
         Args:
@@ -59,7 +59,7 @@
         return None
 
     @property
-    def online(self) -> bool:
+    def has_online(self) -> bool:
         """Whether an online suspect is queued."""
         return any(entry.work.priority is Priority.ONLINE for entry in self._waiting.values())
 
@@ -67,7 +67,7 @@
         """Remove a suspect whose caller cancelled it, if it is queued."""
         self._waiting.pop(id, None)
 
-    def expire(self, now: Millis) -> list[Waiting]:
+    def expire(self, now: Millis) -> list[QueuedRequest]:
         """Remove and return all suspects whose deadline has passed."""
         late = [entry for entry in self._waiting.values() if entry.work.deadline < now]
         for waiting in late:
--- a/packages/core/src/carobspool_core/_work.py
+++ b/packages/core/src/carobspool_core/_work.py
@@ -26,7 +26,7 @@
 
     Attributes:
         mode: The policy, or a baseline: no admission control, or a fixed cap on batch streams.
-        cap: Maximum number of concurrent batch streams in mode ``cap``.
+        batch_cap: Maximum number of concurrent batch streams in mode ``cap``.
         slots: Number of requests that the upstream runs concurrently.
         slowdown: How much batch requests may slow online requests.
         between_tokens_allowance: Time between tokens, in milliseconds, that is acceptable
@@ -35,26 +35,26 @@
         batch_backlog: Number of batch requests queued at the sidecar, beyond the running ones, so
             that the upstream is never idle while an entry sends more.
         keep_kv: Whether the upstream keeps the KV cache of a cancelled stream for its resumption.
-        prefill_tokens: Batch prompt tokens that may be in prefill concurrently while no online
-            request is present.
-        paced: Whether batch prompt starts are paced while online requests are present. Disabled
-            only in experiments.
+        max_batch_prefill_tokens: Batch prompt tokens that may be in prefill concurrently while no
+            online request is present.
+        pace_batch_prompts: Whether batch prompt starts are paced while online requests are
+            present. Disabled only in experiments.
     """
 
     mode: AdmissionMode = AdmissionMode.POLICY
-    cap: int = 8
+    batch_cap: int = 8
     slots: int = 32
     slowdown: OnlineSlowdown = OnlineSlowdown()
     between_tokens_allowance: Millis = 0.0
     online_bounds: QueueBounds = QueueBounds()
     batch_backlog: int = 16
     keep_kv: bool = True
-    prefill_tokens: int = 2048
-    paced: bool = True
+    max_batch_prefill_tokens: int = 2048
+    pace_batch_prompts: bool = True
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Work:
+class AdmissionRequest:
     """One request offered to the admission control.
 
     Attributes:
@@ -83,13 +83,13 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Decision:
+class AdmissionDecision:
     """Actions for the sidecar to perform now, in this order: refuse, preempt, start.
 
     Attributes:
         start: Requests to send to the upstream; they already count as running.
         preempt: Batch streams to cancel at the upstream.
-        refuse: Waiting requests to end with a refusal.
+        refuse: Queued requests to end with a refusal.
         wake_at: Time of the next decision if no event comes before; ``None`` waits for an event.
     """
 
@@ -112,7 +112,7 @@
         tokens: Estimated tokens of all running and queued requests.
         first_token_ewma: Moving average of the time from offer to first token of online requests.
         between_tokens_ewma: Moving average of the time between tokens of online requests.
-        width: Number of batch streams allowed to run now.
+        batch_limit: Number of batch streams allowed to run now.
         prompt_starts: Number of batch prompts started since creation.
         preemptions: Number of batch streams preempted since creation.
     """
@@ -125,6 +125,6 @@
     tokens: int
     first_token_ewma: Millis
     between_tokens_ewma: Millis
-    width: int
+    batch_limit: int
     prompt_starts: int
     preemptions: int
--- a/packages/core/tests/_engine_model.py
+++ b/packages/core/tests/_engine_model.py
@@ -15,11 +15,11 @@
 
 from carobspool_core import (
     Admission,
+    AdmissionRequest,
     AdmissionSettings,
     ManualClock,
     Priority,
     RequestId,
-    Work,
     make_admission,
 )
 
@@ -29,7 +29,7 @@
 PREFILL_CHUNK = 2048
 BATCH_PROMPT = 1200
 BATCH_ANSWER = 300
-FAR = 1e12
+NO_DEADLINE = 1e12
 
 
 @dataclass(slots=True, eq=False)
@@ -43,7 +43,7 @@
     arrived: float
     caller: str = "editor"
     suspect: bool = False
-    deadline: float = FAR
+    deadline: float = NO_DEADLINE
     done: int = 0
     left: int = 0
     started: bool = False
@@ -54,14 +54,14 @@
 
 
 @dataclass(slots=True)
-class Figures:
+class RunMeasurements:
     """Measurements of one run."""
 
-    first: list[float] = field(default_factory=list)
-    between: list[float] = field(default_factory=list)
+    first_token_times: list[float] = field(default_factory=list)
+    token_gaps: list[float] = field(default_factory=list)
     batch_tokens: int = 0
     online_tokens: int = 0
-    prefilled_again: int = 0
+    recomputed_tokens: int = 0
     preemptions: int = 0
     prompts: int = 0
     elapsed: float = 1.0
@@ -141,7 +141,7 @@
 
 
 def varying(
-    seed: int, rate: Callable[[float], float], top: float, deadline: float = FAR
+    seed: int, rate: Callable[[float], float], top: float, deadline: float = NO_DEADLINE
 ) -> Arrivals:
     """Yield Poisson arrivals at ``rate(t)`` per second, up to ``top``, due in ``deadline`` ms."""
     rng = random.Random(seed)
@@ -173,7 +173,7 @@
     seconds: float,
     batch: bool = True,
     batch_prompt: int = BATCH_PROMPT,
-) -> tuple[Figures, list[Request]]:
+) -> tuple[RunMeasurements, list[Request]]:
     """Run an engine behind an admission control; return the figures and all online requests."""
     return _Simulation(settings, arrivals, batch=batch, batch_prompt=batch_prompt).until(
         seconds * 1000.0
@@ -191,14 +191,14 @@
         self.upcoming = next(arrivals)
         self.requests: dict[RequestId, Request] = {}
         self.online: list[Request] = []
-        self.figures = Figures()
+        self.figures = RunMeasurements()
         self.batch = batch
         self.batch_prompt = batch_prompt
         self.batch_count = 0
         self.kv_kept: set[RequestId] = set()
         self.wake: float | None = None
 
-    def until(self, end: float) -> tuple[Figures, list[Request]]:
+    def until(self, end: float) -> tuple[RunMeasurements, list[Request]]:
         while self.clock.now() < end:
             self.deliver(self.clock.now())
             if not self.engine.running and not self.engine.waiting:
@@ -238,7 +238,7 @@
         if request.online:
             self.online.append(request)
         priority = Priority.ONLINE if request.online else Priority.BATCH
-        work = Work(
+        work = AdmissionRequest(
             id=request.id,
             priority=priority,
             caller=request.caller,
@@ -263,7 +263,7 @@
 
     def decide(self, timer: bool = False) -> None:
         now = self.clock.now()
-        decision = self.admission.next(now)
+        decision = self.admission.decide(now)
         for id, _ in decision.refuse:
             self.requests[id].refused = True
             self.requests[id].ended = now
@@ -273,7 +273,7 @@
             if kv_kept:
                 self.kv_kept.add(id)
             self.figures.preemptions += 1
-            self.admission.preempted(id, now, request.done, kv_kept)
+            self.admission.requeue_preempted(id, now, request.done, kv_kept)
         for id in decision.start:
             self.submit(self.requests[id])
         wake = decision.wake_at
@@ -285,7 +285,7 @@
             self.engine.submit(request, 0)
             return
         if request.done or request.last is not None:
-            self.figures.prefilled_again += request.prompt + request.done
+            self.figures.recomputed_tokens += request.prompt + request.done
         if not request.online:
             self.figures.prompts += 1
         self.engine.submit(request, request.prompt + request.done)
@@ -299,7 +299,7 @@
             if request.done >= request.answer:
                 self.engine.running.remove(request)
                 request.ended = now
-                self.admission.finished(request.id, now)
+                self.admission.record_end(request.id, now)
                 if not request.online:
                     del self.requests[request.id]
 
@@ -309,16 +309,16 @@
             request.first = now
         if request.started:
             request.started = False
-            self.admission.first_token(request.id, now)
+            self.admission.record_first_token(request.id, now)
         else:
-            self.admission.token(request.id, now)
+            self.admission.record_tokens(request.id, now)
         if not request.online:
             self.figures.batch_tokens += 1
             request.last = now
             return
         self.figures.online_tokens += 1
         if request.last is None:
-            self.figures.first.append(now - request.arrived)
+            self.figures.first_token_times.append(now - request.arrived)
         else:
-            self.figures.between.append(now - request.last)
+            self.figures.token_gaps.append(now - request.last)
         request.last = now
--- a/packages/core/tests/test_admission.py
+++ b/packages/core/tests/test_admission.py
@@ -16,13 +16,13 @@
 from carobspool_core import (  # noqa: E402
     Admission,
     AdmissionMode,
+    AdmissionRequest,
     AdmissionSettings,
     ManualClock,
     OnlineSlowdown,
     Outcome,
     Priority,
     RequestId,
-    Work,
     make_admission,
 )
 
@@ -36,9 +36,9 @@
     caller: str = "editor",
     deadline: float = 1e12,
     suspect: bool = False,
-) -> Work:
+) -> AdmissionRequest:
     """Return a request of 100 prompt and 100 answer tokens."""
-    return Work(
+    return AdmissionRequest(
         id=RequestId(priority.name, count),
         priority=priority,
         caller=caller,
@@ -53,11 +53,11 @@
 def make_full(slots: int = 4) -> tuple[Admission, ManualClock]:
     """Return an admission control with a decoding batch stream in every slot."""
     clock = ManualClock()
-    admission = make_admission(AdmissionSettings(slots=slots, paced=False), clock)
+    admission = make_admission(AdmissionSettings(slots=slots, pace_batch_prompts=False), clock)
     for count in range(slots):
         admission.offer(make_work(count, Priority.BATCH))
-        for id in admission.next(clock.now()).start:
-            admission.first_token(id, clock.now())
+        for id in admission.decide(clock.now()).start:
+            admission.record_first_token(id, clock.now())
     return admission, clock
 
 
@@ -65,7 +65,7 @@
     """The decision that starts an online request also preempts one batch stream."""
     admission, clock = make_full()
     admission.offer(make_work(1))
-    decision = admission.next(clock.now())
+    decision = admission.decide(clock.now())
     assert decision.start == (RequestId("ONLINE", 1),)
     assert len(decision.preempt) == 1
 
@@ -75,11 +75,11 @@
     admission, clock = make_full()
     admission.offer(make_work(99, Priority.BATCH))
     admission.offer(make_work(1))
-    (victim,) = admission.next(clock.now()).preempt
-    admission.preempted(victim, clock.now(), 1, kept=True)
-    admission.finished(RequestId("ONLINE", 1), clock.now())
+    (victim,) = admission.decide(clock.now()).preempt
+    admission.requeue_preempted(victim, clock.now(), 1, kv_kept=True)
+    admission.record_end(RequestId("ONLINE", 1), clock.now())
     clock.advance(1000.0)
-    assert admission.next(clock.now()).start == (victim,)
+    assert admission.decide(clock.now()).start == (victim,)
 
 
 def test_short_requests_in_a_row_do_not_cancel_and_resume_batch_each_time() -> None:
@@ -88,18 +88,18 @@
     admission = make_admission(AdmissionSettings(slots=16), clock)
     for count in range(16):
         admission.offer(make_work(count, Priority.BATCH))
-        for id in admission.next(clock.now()).start:
-            admission.first_token(id, clock.now())
+        for id in admission.decide(clock.now()).start:
+            admission.record_first_token(id, clock.now())
     preempted = []
     for count in range(10):
         clock.advance(20.0)
         admission.offer(make_work(count))
-        decision = admission.next(clock.now())
+        decision = admission.decide(clock.now())
         for id in decision.preempt:
-            admission.preempted(id, clock.now(), 1, kept=True)
+            admission.requeue_preempted(id, clock.now(), 1, kv_kept=True)
         preempted.append(len(decision.preempt))
-        admission.finished(RequestId("ONLINE", count), clock.now())
-        admission.next(clock.now())
+        admission.record_end(RequestId("ONLINE", count), clock.now())
+        admission.decide(clock.now())
     assert preempted[0] > 0
     assert sum(preempted[1:]) == 0
 
@@ -110,9 +110,11 @@
     policy, _ = model.run(AdmissionSettings(), model.bursts(1), seconds=SECONDS)
     settings = AdmissionSettings(mode=AdmissionMode.STRAIGHT)
     passthrough, _ = model.run(settings, model.bursts(1), seconds=SECONDS)
-    slowdown = model.quantile(policy.first, 0.95) / model.quantile(alone.first, 0.95)
-    passthrough_slowdown = model.quantile(passthrough.first, 0.95) / model.quantile(
-        alone.first, 0.95
+    slowdown = model.quantile(policy.first_token_times, 0.95) / model.quantile(
+        alone.first_token_times, 0.95
+    )
+    passthrough_slowdown = model.quantile(passthrough.first_token_times, 0.95) / model.quantile(
+        alone.first_token_times, 0.95
     )
     assert slowdown < 1.5
     assert passthrough_slowdown > 20.0
@@ -132,9 +134,9 @@
     admission = make_admission(AdmissionSettings(slots=4), clock)
     admission.offer(make_work(1, suspect=True))
     admission.offer(make_work(2, suspect=True))
-    assert admission.next(clock.now()).start == (RequestId("ONLINE", 1),)
-    admission.finished(RequestId("ONLINE", 1), clock.now())
-    assert admission.next(clock.now()).start == (RequestId("ONLINE", 2),)
+    assert admission.decide(clock.now()).start == (RequestId("ONLINE", 1),)
+    admission.record_end(RequestId("ONLINE", 1), clock.now())
+    assert admission.decide(clock.now()).start == (RequestId("ONLINE", 2),)
 
 
 def test_burst_reduces_batch_streams_to_the_limit_for_first_tokens() -> None:
@@ -143,12 +145,12 @@
     admission = make_admission(AdmissionSettings(slots=16), clock)
     for count in range(16):
         admission.offer(make_work(count, Priority.BATCH))
-        for id in admission.next(clock.now()).start:
-            admission.first_token(id, clock.now())
+        for id in admission.decide(clock.now()).start:
+            admission.record_first_token(id, clock.now())
     admission.offer(make_work(1))
-    decision = admission.next(clock.now())
+    decision = admission.decide(clock.now())
     assert decision.start == (RequestId("ONLINE", 1),)
-    assert 16 - len(decision.preempt) == admission.snapshot(clock.now()).width
+    assert 16 - len(decision.preempt) == admission.snapshot(clock.now()).batch_limit
 
 
 def test_batch_does_not_starve_at_an_upstream_that_reports_no_tokens() -> None:
@@ -156,15 +158,15 @@
     clock = ManualClock()
     admission = make_admission(AdmissionSettings(slots=16), clock)
     admission.offer(make_work(1))
-    admission.next(clock.now())
+    admission.decide(clock.now())
     for count in range(8):
         admission.offer(make_work(count, Priority.BATCH))
     started = 0
     for _ in range(200):
         clock.advance(10.0)
-        for id in admission.next(clock.now()).start:
+        for id in admission.decide(clock.now()).start:
             started += 1
-            admission.finished(id, clock.now())
+            admission.record_end(id, clock.now())
     assert started == 4
 
 
@@ -172,15 +174,15 @@
 def test_preempted_request_past_its_deadline_is_reported_as_ran(tokens: int) -> None:
     """A request that was sent and then missed its deadline must not be retried unconditionally."""
     clock = ManualClock()
-    admission = make_admission(AdmissionSettings(slots=1, paced=False), clock)
+    admission = make_admission(AdmissionSettings(slots=1, pace_batch_prompts=False), clock)
     admission.offer(make_work(1, Priority.BATCH, deadline=50.0))
-    (batch,) = admission.next(0.0).start
+    (batch,) = admission.decide(0.0).start
     if tokens:
-        admission.first_token(batch, 1.0)
+        admission.record_first_token(batch, 1.0)
     admission.offer(make_work(1))
-    assert admission.next(1.0).preempt == (batch,)
-    admission.preempted(batch, 1.0, tokens, kept=tokens > 0)
-    ((refused, failure),) = admission.next(51.0).refuse
+    assert admission.decide(1.0).preempt == (batch,)
+    admission.requeue_preempted(batch, 1.0, tokens, kv_kept=tokens > 0)
+    ((refused, failure),) = admission.decide(51.0).refuse
     assert refused == batch
     assert failure.outcome is Outcome.RAN
 
@@ -208,7 +210,9 @@
     counted = [request for request in online if 30_000.0 <= request.arrived < 90_000.0]
     refused = [request for request in counted if request.refused]
     served = [request for request in counted if not request.refused]
-    late = [request for request in served if (request.ended or model.FAR) > request.deadline]
+    late = [
+        request for request in served if (request.ended or model.NO_DEADLINE) > request.deadline
+    ]
     slow = [request for request in refused if (request.ended or 0.0) - request.arrived > 20.0]
     return {
         "answered": len(served) - len(late),
@@ -228,15 +232,15 @@
     """
     clock = ManualClock()
     admission = make_admission(AdmissionSettings(slots=3), clock)
-    running: dict[RequestId, Work] = {}
-    works: dict[RequestId, Work] = {}
+    running: dict[RequestId, AdmissionRequest] = {}
+    works: dict[RequestId, AdmissionRequest] = {}
     for action, number in steps:
         clock.advance(number)
         apply_step(admission, clock.now(), action, number, running, works)
-        decision = admission.next(clock.now())
+        decision = admission.decide(clock.now())
         for id in decision.preempt:
             assert running.pop(id).priority is Priority.BATCH
-            admission.preempted(id, clock.now(), 1, kept=bool(number % 2))
+            admission.requeue_preempted(id, clock.now(), 1, kv_kept=bool(number % 2))
         for id in decision.start:
             assert id not in running
             running[id] = works[id]
@@ -254,8 +258,8 @@
     now: float,
     action: int,
     number: int,
-    running: dict[RequestId, Work],
-    works: dict[RequestId, Work],
+    running: dict[RequestId, AdmissionRequest],
+    works: dict[RequestId, AdmissionRequest],
 ) -> None:
     """Apply one event to the request selected by ``number``."""
     if action <= 3:
@@ -268,14 +272,14 @@
         return
     id = sorted(running)[number % len(running)]
     if action == 4:
-        admission.first_token(id, now)
+        admission.record_first_token(id, now)
     elif action == 5:
-        admission.token(id, now, 2)
+        admission.record_tokens(id, now, 2)
     elif action == 6:
-        admission.finished(id, now)
+        admission.record_end(id, now)
         del running[id]
     else:
-        admission.cancelled(id, now)
+        admission.cancel(id, now)
         del running[id]
 
 
@@ -293,6 +297,6 @@
     loose = AdmissionSettings(slots=16, slowdown=OnlineSlowdown(first_token=1.5))
     admission.reconfigure(loose)
     assert admission._pacer is not before
-    assert admission._pacer.width(clock.now()) == 16
+    assert admission._pacer.batch_limit(clock.now()) == 16
     assert admission._allocator._pacer is admission._pacer
     assert admission._allocator._settings is loose
--- a/packages/node/src/carobspool_node/process/_sidecar_node.py
+++ b/packages/node/src/carobspool_node/process/_sidecar_node.py
@@ -127,7 +127,7 @@
                 "queued.online": found.queued_online,
                 "queued.batch": found.queued_batch,
                 "parked": found.parked,
-                "width": found.width,
+                "width": found.batch_limit,
                 "preemptions": found.preemptions,
                 "first_token_ms": found.first_token_ewma,
                 "between_tokens_ms": found.between_tokens_ewma,
@@ -225,7 +225,7 @@
         slots = declared.slots if declared is not None else slots
     return DecisionSettings(
         mode=AdmissionMode(settings.admission.mode.value),
-        cap=settings.admission.cap,
+        batch_cap=settings.admission.cap,
         slots=slots,
         slowdown=slowdown,
         between_tokens_allowance=slowdown.between_tokens_allowance,
--- a/packages/node/src/carobspool_node/upstreams/_engine_runs.py
+++ b/packages/node/src/carobspool_node/upstreams/_engine_runs.py
@@ -165,7 +165,7 @@
             run.data(piece)
             count = count_tokens(piece) if streaming else 1
             if count and progress.started:
-                self._tell().tokens(request.id, count)
+                self._tell().record_tokens(request.id, count)
             elif count:
                 progress.started = True
                 self._count(request.id, True, count)
@@ -224,7 +224,9 @@
         gave_way = collector.cancelled or result.end is not CallEnd.COMPLETE
         if progress.preempting and not progress.cancelled and gave_way:
             run.give_way(self._clock.now())
-            self._tell().preempted(run.open.id, kept_tokens=collector.tokens, kept=progress.kept)
+            self._tell().requeue_preempted(
+                run.open.id, received_tokens=collector.tokens, kv_kept=progress.kept
+            )
             return
         failure = self._failure_of(result, progress)
         if failure is None and progress.status != 200:
@@ -245,14 +247,14 @@
         with self._lock:
             self._progress.pop(run.open.id, None)
         run.end(failure, self._clock.now())
-        self._tell().finished(run.open.id)
+        self._tell().record_end(run.open.id)
 
     def _count(self, identity: RequestId, first: bool, count: int) -> None:
         if first:
-            self._tell().first_token(identity)
+            self._tell().record_first_token(identity)
             count -= 1
         if count > 0:
-            self._tell().tokens(identity, count)
+            self._tell().record_tokens(identity, count)
 
     def _failure_of(self, result: CallResult, progress: _Progress) -> Failure | None:
         if result.end is CallEnd.COMPLETE:
--- a/packages/node/src/carobspool_node/upstreams/_scheduler.py
+++ b/packages/node/src/carobspool_node/upstreams/_scheduler.py
@@ -9,14 +9,14 @@
 
 from carobspool_core import (
     Admission,
+    AdmissionDecision,
+    AdmissionRequest,
     AdmissionSettings,
     AdmissionSnapshot,
     Clock,
-    Decision,
     Failure,
     Millis,
     RequestId,
-    Work,
 )
 
 IDLE_WAIT: Millis = 1_000.0
@@ -54,7 +54,7 @@
         self._timer = threading.Thread(target=self._run_timer, name="admission", daemon=True)
         self._timer.start()
 
-    def offer(self, work: Work) -> Result[None, Failure]:
+    def offer(self, work: AdmissionRequest) -> Result[None, Failure]:
         """Offer a request; a failure is its final refusal."""
         with self._lock:
             offered = self._admission.offer(work)
@@ -62,27 +62,31 @@
         self._act(decision)
         return offered
 
-    def first_token(self, identity: RequestId) -> None:
+    def record_first_token(self, identity: RequestId) -> None:
         """Tell that an upstream sent the first piece of an answer."""
         with self._lock:
-            self._admission.first_token(identity, self._clock.now())
+            self._admission.record_first_token(identity, self._clock.now())
 
-    def tokens(self, identity: RequestId, count: int) -> None:
+    def record_tokens(self, identity: RequestId, count: int) -> None:
         """Tell that an upstream sent further pieces."""
         with self._lock:
-            self._admission.token(identity, self._clock.now(), count)
+            self._admission.record_tokens(identity, self._clock.now(), count)
 
-    def finished(self, identity: RequestId) -> None:
+    def record_end(self, identity: RequestId) -> None:
         """Tell that a request has left the upstream for good."""
-        self._event(lambda now: self._admission.finished(identity, now))
+        self._event(lambda now: self._admission.record_end(identity, now))
 
-    def cancelled(self, identity: RequestId) -> None:
+    def cancel(self, identity: RequestId) -> None:
         """Tell that nobody wants a request any more, wherever it stands."""
-        self._event(lambda now: self._admission.cancelled(identity, now))
+        self._event(lambda now: self._admission.cancel(identity, now))
 
-    def preempted(self, identity: RequestId, *, kept_tokens: int, kept: bool) -> None:
+    def requeue_preempted(
+        self, identity: RequestId, *, received_tokens: int, kv_kept: bool
+    ) -> None:
         """Tell that a request gave way and waits again."""
-        self._event(lambda now: self._admission.preempted(identity, now, kept_tokens, kept))
+        self._event(
+            lambda now: self._admission.requeue_preempted(identity, now, received_tokens, kv_kept)
+        )
 
     def batch_credits(self) -> int:
         """Return how many more batch requests would be taken now."""
@@ -110,14 +114,14 @@
             decision = self._decide()
         self._act(decision)
 
-    def _decide(self) -> Decision:
-        decision = self._admission.next(self._clock.now())
+    def _decide(self) -> AdmissionDecision:
+        decision = self._admission.decide(self._clock.now())
         if decision.wake_at != self._wake_at:
             self._wake_at = decision.wake_at
             self._wake.notify()
         return decision
 
-    def _act(self, decision: Decision) -> None:
+    def _act(self, decision: AdmissionDecision) -> None:
         for identity, failure in decision.refuse:
             self._refuse(identity, failure)
         for identity in decision.preempt:
--- a/packages/node/src/carobspool_node/upstreams/_sidecar.py
+++ b/packages/node/src/carobspool_node/upstreams/_sidecar.py
@@ -15,6 +15,7 @@
 from returns.pipeline import is_successful
 
 from carobspool_core import (
+    AdmissionRequest,
     Attach,
     Beat,
     Cancel,
@@ -31,7 +32,6 @@
     Priority,
     RequestId,
     SidecarState,
-    Work,
     broken_upstream,
     unavailable,
 )
@@ -274,9 +274,9 @@
             return unavailable("upstream_down", "the upstream is down", retry_after_ms=1000.0)
         return None
 
-    def _work(self, message: Open) -> Work:
+    def _work(self, message: Open) -> AdmissionRequest:
         deadline = self._clock.now() + message.timeout
-        return Work(
+        return AdmissionRequest(
             id=message.id,
             priority=message.priority,
             caller=message.caller,
@@ -319,7 +319,7 @@
             run.end_waiting(_STALLED, now)
         if run is None or not run.begin(now):
             self._engine.forget(identity)
-            self._scheduler.finished(identity)
+            self._scheduler.record_end(identity)
             return
         self._pool.submit(self._engine.run, run)
 
@@ -340,7 +340,7 @@
     def _end_waiting(self, run: Run, failure: Failure) -> bool:
         if not run.end_waiting(failure, self._clock.now()):
             return False
-        self._scheduler.cancelled(run.open.id)
+        self._scheduler.cancel(run.open.id)
         self._engine.forget(run.open.id)
         return True
 
--- a/tools/admission_trial.py
+++ b/tools/admission_trial.py
@@ -31,15 +31,15 @@
 )
 POLICIES: dict[str, AdmissionSettings] = {
     "straight": AdmissionSettings(mode=AdmissionMode.STRAIGHT),
-    "cap-4": AdmissionSettings(mode=AdmissionMode.CAP, cap=4),
-    "cap-8": AdmissionSettings(mode=AdmissionMode.CAP, cap=8),
-    "cap-16": AdmissionSettings(mode=AdmissionMode.CAP, cap=16),
+    "cap-4": AdmissionSettings(mode=AdmissionMode.CAP, batch_cap=4),
+    "cap-8": AdmissionSettings(mode=AdmissionMode.CAP, batch_cap=8),
+    "cap-16": AdmissionSettings(mode=AdmissionMode.CAP, batch_cap=16),
     "tabosa": TABOSA,
     "tabosa-kv-lost": dataclasses.replace(TABOSA, keep_kv=False),
-    "tabosa-unpaced": dataclasses.replace(TABOSA, paced=False),
+    "tabosa-unpaced": dataclasses.replace(TABOSA, pace_batch_prompts=False),
     "hollowbrook": HOLLOWBROOK,
     "hollowbrook-kv-lost": dataclasses.replace(HOLLOWBROOK, keep_kv=False),
-    "hollowbrook-unpaced": dataclasses.replace(HOLLOWBROOK, paced=False),
+    "hollowbrook-unpaced": dataclasses.replace(HOLLOWBROOK, pace_batch_prompts=False),
 }
 
 
@@ -68,16 +68,18 @@
     return rows
 
 
-def compare(figures: model.Figures, alone: model.Figures, straight: model.Figures) -> Row:
+def compare(
+    figures: model.RunMeasurements, alone: model.RunMeasurements, straight: model.RunMeasurements
+) -> Row:
     """Return what one run's callers received against the two references."""
     q = model.quantile
     return Row(
-        first=q(figures.first, 0.95) / q(alone.first, 0.95),
-        first_p99=q(figures.first, 0.99) / q(alone.first, 0.99),
-        between=q(figures.between, 0.95) / q(alone.between, 0.95),
-        between_ms=q(figures.between, 0.95),
+        first=q(figures.first_token_times, 0.95) / q(alone.first_token_times, 0.95),
+        first_p99=q(figures.first_token_times, 0.99) / q(alone.first_token_times, 0.99),
+        between=q(figures.token_gaps, 0.95) / q(alone.token_gaps, 0.95),
+        between_ms=q(figures.token_gaps, 0.95),
         batch=figures.batch_rate / straight.batch_rate,
-        again=figures.prefilled_again * 1000.0 / figures.elapsed,
+        again=figures.recomputed_tokens * 1000.0 / figures.elapsed,
         preemptions=figures.preemptions * 1000.0 / figures.elapsed,
     )
 
--- a/tools/cost_admission.py
+++ b/tools/cost_admission.py
@@ -7,6 +7,7 @@
 from collections.abc import Callable
 
 from carobspool_core import (
+    AdmissionRequest,
     AdmissionSettings,
     Caller,
     Limits,
@@ -16,7 +17,6 @@
     QueueBounds,
     RequestId,
     Ticket,
-    Work,
     make_admission,
     make_fair_queue,
     make_limiter,
@@ -77,10 +77,10 @@
     clock = ManualClock()
     admission = make_admission(AdmissionSettings(slots=streams), clock)
 
-    def work(index: int, priority: Priority) -> Work:
+    def work(index: int, priority: Priority) -> AdmissionRequest:
         id = RequestId(priority.name, index)
         name = f"caller-{index % 50}"
-        return Work(
+        return AdmissionRequest(
             id=id,
             priority=priority,
             caller=name,
@@ -93,25 +93,25 @@
     running: list[RequestId] = []
     for index in range(streams):
         admission.offer(work(index, Priority.BATCH))
-        for id in admission.next(clock.now()).start:
-            admission.first_token(id, clock.now())
+        for id in admission.decide(clock.now()).start:
+            admission.record_first_token(id, clock.now())
             running.append(id)
 
     def token(index: int) -> None:
         clock.advance(0.02)
-        admission.token(running[index % len(running)], clock.now())
+        admission.record_tokens(running[index % len(running)], clock.now())
 
     def online(index: int) -> None:
         clock.advance(20.0)
         now = clock.now()
         admission.offer(work(index, Priority.ONLINE))
-        decision = admission.next(now)
+        decision = admission.decide(now)
         for id in decision.preempt:
-            admission.preempted(id, now, 10, True)
+            admission.requeue_preempted(id, now, 10, True)
         id = decision.start[0]
-        admission.first_token(id, now + 5.0)
-        admission.finished(id, now + 9.0)
-        admission.next(now + 9.0)
+        admission.record_first_token(id, now + 5.0)
+        admission.record_end(id, now + 9.0)
+        admission.decide(now + 9.0)
 
     return measure(100_000, token), measure(5_000, online)
 
--- a/tools/overload_trial.py
+++ b/tools/overload_trial.py
@@ -67,7 +67,7 @@
     source = arrivals() if fair else unknown()
     _, online = model.run(AdmissionSettings(), source, seconds=100.0)
     light = [r for r in online if r.id.counter % 12 == 0 and WARM_MS <= r.arrived < 90_000.0]
-    good = [r for r in light if not r.refused and (r.ended or model.FAR) <= r.deadline]
+    good = [r for r in light if not r.refused and (r.ended or model.NO_DEADLINE) <= r.deadline]
     first = [r.first - r.arrived for r in good if r.first is not None]
     return (
         f"{len(good)} of {len(light)} in time, first token p95 {model.quantile(first, 0.95):.0f} ms"
@@ -85,7 +85,9 @@
     counted = [request for request in online if WARM_MS <= request.arrived < END_MS]
     refused = [request for request in counted if request.refused]
     served = [request for request in counted if not request.refused]
-    good = [request for request in served if (request.ended or model.FAR) <= request.deadline]
+    good = [
+        request for request in served if (request.ended or model.NO_DEADLINE) <= request.deadline
+    ]
     tokens = sum(request.prompt + request.answer for request in good)
     slow = [request for request in refused if (request.ended or 0.0) - request.arrived > 20.0]
     seconds = (END_MS - WARM_MS) / 1000.0
