--- a/packages/core/src/carobspool_core/__init__.pyi
+++ b/packages/core/src/carobspool_core/__init__.pyi
@@ -112,22 +112,22 @@
 from ._retry import RetryPolicy, RetrySettings, make_retry_policy
 from ._route_types import Choice, RouteRequest, RoutingSettings, Target
 from ._routing import Router, make_router
-from ._shares import Demand, Subject, SubjectKind, UsageReport
+from ._shares import Demand, DemandReport, Subject, SubjectKind
 from ._spans import (
     Span,
     Spans,
-    span_count,
-    span_indexes,
-    spans_of,
+    count_indexes,
+    iterate_indexes,
+    spans_from_indexes,
     spans_overlap,
     subtract_spans,
-    unite_spans,
+    union_spans,
 )
 from ._subsets import Subsets, make_subsets, subset_size
 from ._suspect_gate import SuspectGate, make_suspect_gate
 from ._suspect_records import SuspectChange, Verdict, VerdictKind
 from ._suspects import Suspects, make_suspects
-from ._tickets import QueueBounds, Ticket
+from ._tickets import FairQueueItem, QueueBounds
 from ._work import (
     AdmissionDecision,
     AdmissionMode,
@@ -163,6 +163,7 @@
     "Data",
     "DeclaredEngine",
     "Demand",
+    "DemandReport",
     "DesiredState",
     "Dispatcher",
     "End",
@@ -172,6 +173,7 @@
     "EpochRecord",
     "Failure",
     "FairQueue",
+    "FairQueueItem",
     "Fence",
     "Gossip",
     "Grant",
@@ -245,11 +247,9 @@
     "SuspectGate",
     "Suspects",
     "Target",
-    "Ticket",
     "Upstream",
     "UpstreamKind",
     "UpstreamModels",
-    "UsageReport",
     "Verdict",
     "VerdictKind",
     "WatchBatch",
@@ -267,6 +267,7 @@
     "claim_chunk",
     "commit_part",
     "content_job_id",
+    "count_indexes",
     "declare_intents",
     "declared_engine",
     "differences",
@@ -278,6 +279,7 @@
     "heartbeat_interval",
     "invalid_request",
     "item_retry",
+    "iterate_indexes",
     "job_value",
     "keyed_job_id",
     "make_admission",
@@ -306,9 +308,7 @@
     "release_chunk",
     "report_interval",
     "report_progress",
-    "span_count",
-    "span_indexes",
-    "spans_of",
+    "spans_from_indexes",
     "spans_overlap",
     "stop_chunk",
     "subset_size",
@@ -316,7 +316,7 @@
     "take_over_wait",
     "unavailable",
     "unfinished",
-    "unite_spans",
+    "union_spans",
     "wall_millis",
     "withdraw_intents",
 ]
--- a/packages/core/src/carobspool_core/_admission.py
+++ b/packages/core/src/carobspool_core/_admission.py
@@ -33,7 +33,7 @@
 from carobspool_core._slot_allocator import SlotAllocator
 from carobspool_core._streams import Stream, Streams
 from carobspool_core._suspect_queue import SuspectQueue
-from carobspool_core._tickets import Ticket
+from carobspool_core._tickets import FairQueueItem
 from carobspool_core._work import (
     AdmissionDecision,
     AdmissionMode,
@@ -103,7 +103,7 @@
         if work.priority is Priority.BATCH:
             return self._batch.fresh.push(ticket, now).map(lambda _: None)
         self._pacer.record_arrival(now)
-        self._online.set_rate(self._service_time.tokens_per_ms(self._settings.slots))
+        self._online.set_throughput(self._service_time.tokens_per_ms(self._settings.slots))
         return self._online.push(ticket, now).map(self._refuse_evicted)
 
     def decide(self, now: Millis) -> AdmissionDecision:
@@ -210,12 +210,12 @@
             preemptions=self._allocator.preemptions,
         )
 
-    def _ticket(self, waiting: QueuedRequest, now: Millis) -> Ticket[QueuedRequest]:
+    def _ticket(self, waiting: QueuedRequest, now: Millis) -> FairQueueItem[QueuedRequest]:
         work = waiting.work
         start_by = work.deadline
         if work.priority is Priority.ONLINE:
             start_by -= self._service_time.likely_duration(work.cost_tokens, work.prompt_tokens)
-        return Ticket(
+        return FairQueueItem(
             id=work.id,
             caller=work.caller,
             weight=work.weight,
@@ -226,7 +226,7 @@
             item=waiting,
         )
 
-    def _refuse_evicted(self, tickets: tuple[Ticket[QueuedRequest], ...]) -> None:
+    def _refuse_evicted(self, tickets: tuple[FairQueueItem[QueuedRequest], ...]) -> None:
         for ticket in tickets:
             wait = self._online.predicted_wait(ticket.caller, ticket.weight)
             self._refused.append((ticket.id, queue_full(wait)))
--- a/packages/core/src/carobspool_core/_chunks.py
+++ b/packages/core/src/carobspool_core/_chunks.py
@@ -17,10 +17,10 @@
 from carobspool_core._config import BatchShaping
 from carobspool_core._spans import (
     Spans,
-    span_count,
+    count_indexes,
     spans_overlap,
     subtract_spans,
-    unite_spans,
+    union_spans,
 )
 
 MAX_CHUNK_ITEMS = 2_048
@@ -124,7 +124,7 @@
     """Return the items that have a result."""
     spans: Spans = ()
     for part in state.parts:
-        spans = unite_spans(spans, part.spans)
+        spans = union_spans(spans, part.spans)
     return spans
 
 
@@ -156,7 +156,7 @@
         return Success(state)
     if state.status is ChunkStatus.CLAIMED and not holder_is_dead:
         return Failure(ChunkRefusal.HELD)
-    declared = unite_spans(state.intents, state.abandoned)
+    declared = union_spans(state.intents, state.abandoned)
     return Success(
         replace(
             state,
@@ -174,10 +174,10 @@
     """Record that the holder is about to start non-idempotent items."""
     if refusal := _refusal(state, holder):
         return Failure(refusal)
-    unavailable = unite_spans(finished(state), unite_spans(state.intents, state.abandoned))
+    unavailable = union_spans(finished(state), union_spans(state.intents, state.abandoned))
     if spans_overlap(spans, unavailable):
         return Failure(ChunkRefusal.ALREADY_FINISHED)
-    return Success(replace(state, intents=unite_spans(state.intents, spans)))
+    return Success(replace(state, intents=union_spans(state.intents, spans)))
 
 
 def withdraw_intents(
@@ -203,7 +203,7 @@
         intents=subtract_spans(state.intents, part.spans),
         abandoned=subtract_spans(state.abandoned, part.spans),
     )
-    if span_count(finished(after)) == after.items:
+    if count_indexes(finished(after)) == after.items:
         after = replace(after, status=ChunkStatus.DONE)
     return Success(after)
 
--- a/packages/core/src/carobspool_core/_fairqueue.py
+++ b/packages/core/src/carobspool_core/_fairqueue.py
@@ -26,7 +26,7 @@
 from carobspool_core._messages import RequestId
 from carobspool_core._outcome import Failure
 from carobspool_core._refusals import deadline_unreachable, queue_full
-from carobspool_core._tickets import QueueBounds, Ticket
+from carobspool_core._tickets import FairQueueItem, QueueBounds
 
 _MIN_STALE_ENTRIES = 64
 """Stale heap entries tolerated beyond the number of live ones; small heaps are never rebuilt."""
@@ -47,7 +47,7 @@
     start: float
     order: int
     cost: float = 0.0
-    tickets: OrderedDict[RequestId, Ticket[T]] = field(default_factory=OrderedDict)
+    tickets: OrderedDict[RequestId, FairQueueItem[T]] = field(default_factory=OrderedDict)
 
     @property
     def weighted_cost(self) -> float:
@@ -91,7 +91,7 @@
         """Number of callers with state in the queue, with or without waiting requests."""
         return len(self._backlogs) + len(self._idle_tags)
 
-    def set_rate(self, tokens_per_ms: float) -> None:
+    def set_throughput(self, tokens_per_ms: float) -> None:
         """Set the throughput used to predict waits; 0 while it is unknown."""
         self._tokens_per_ms = tokens_per_ms
 
@@ -115,7 +115,9 @@
         ahead = max(round_cost, (tag - self._virtual_time) * weights)
         return min(self._cost, ahead) * _WAIT_MARGIN / self._tokens_per_ms
 
-    def push(self, ticket: Ticket[T], now: Millis) -> Result[tuple[Ticket[T], ...], Failure]:
+    def push(
+        self, ticket: FairQueueItem[T], now: Millis
+    ) -> Result[tuple[FairQueueItem[T], ...], Failure]:
         """Queue a request.
 
         Args:
@@ -129,7 +131,7 @@
         refusal = self._refusal_for(ticket, now)
         if refusal is not None:
             return Failed(refusal)
-        evicted: tuple[Ticket[T], ...] = ()
+        evicted: tuple[FairQueueItem[T], ...] = ()
         if len(self._caller_of) >= self._bounds.total:
             heaviest = self._heaviest()
             if not self._is_lighter(ticket, heaviest):
@@ -138,7 +140,7 @@
         self._insert(ticket)
         return Success(evicted)
 
-    def peek(self) -> Ticket[T] | None:
+    def peek(self) -> FairQueueItem[T] | None:
         """Return the next request to serve without removing it; ``None`` if the queue is empty."""
         while self._heads:
             _, order, caller = self._heads[0]
@@ -148,7 +150,7 @@
             heapq.heappop(self._heads)
         return None
 
-    def pop(self) -> Ticket[T] | None:
+    def pop(self) -> FairQueueItem[T] | None:
         """Remove and return the next request to serve; ``None`` if the queue is empty."""
         ticket = self.peek()
         if ticket is None:
@@ -160,7 +162,7 @@
         self._drop_passed_tags()
         return ticket
 
-    def remove(self, id: RequestId) -> Ticket[T] | None:
+    def remove(self, id: RequestId) -> FairQueueItem[T] | None:
         """Remove and return a request, such as a cancelled one; ``None`` if it is not queued."""
         caller = self._caller_of.get(id)
         if caller is None:
@@ -170,9 +172,9 @@
         self._detach(ticket, backlog)
         return ticket
 
-    def expire(self, now: Millis) -> list[Ticket[T]]:
+    def expire(self, now: Millis) -> list[FairQueueItem[T]]:
         """Remove and return all requests that can no longer meet their deadline."""
-        expired: list[Ticket[T]] = []
+        expired: list[FairQueueItem[T]] = []
         while self._deadlines and self._deadlines[0][0] < now:
             _, _, id = heapq.heappop(self._deadlines)
             ticket = self.remove(id)
@@ -186,14 +188,14 @@
             heapq.heappop(self._deadlines)
         return self._deadlines[0][0] if self._deadlines else None
 
-    def _refusal_for(self, ticket: Ticket[T], now: Millis) -> Failure | None:
+    def _refusal_for(self, ticket: FairQueueItem[T], now: Millis) -> Failure | None:
         backlog = self._backlogs.get(ticket.caller)
         if backlog is not None and len(backlog.tickets) >= self._bounds.per_caller:
             return queue_full(self.predicted_wait(ticket.caller, ticket.weight))
         late = now + self.predicted_wait(ticket.caller, ticket.weight) - ticket.start_by
         return deadline_unreachable(late) if late > 0.0 else None
 
-    def _insert(self, ticket: Ticket[T]) -> None:
+    def _insert(self, ticket: FairQueueItem[T]) -> None:
         backlog = self._backlogs.get(ticket.caller)
         if backlog is None:
             backlog = self._open_backlog(ticket)
@@ -206,7 +208,7 @@
         heapq.heappush(self._loads, (-backlog.weighted_cost, self._order, ticket.caller))
         self._rebuild_stale_heaps()
 
-    def _open_backlog(self, ticket: Ticket[T]) -> _CallerBacklog[T]:
+    def _open_backlog(self, ticket: FairQueueItem[T]) -> _CallerBacklog[T]:
         tag = self._idle_tags.pop(ticket.caller, 0.0)
         start = max(self._virtual_time, tag)
         self._order += 1
@@ -218,7 +220,7 @@
         heapq.heappush(self._heads, (start, self._order, ticket.caller))
         return backlog
 
-    def _detach(self, ticket: Ticket[T], backlog: _CallerBacklog[T]) -> None:
+    def _detach(self, ticket: FairQueueItem[T], backlog: _CallerBacklog[T]) -> None:
         del backlog.tickets[ticket.id]
         del self._caller_of[ticket.id]
         backlog.cost -= ticket.cost
@@ -266,12 +268,12 @@
             if backlog is not None:
                 heapq.heappush(self._loads, (-backlog.weighted_cost, order, caller))
 
-    def _is_lighter(self, ticket: Ticket[T], heaviest: str) -> bool:
+    def _is_lighter(self, ticket: FairQueueItem[T], heaviest: str) -> bool:
         backlog = self._backlogs.get(ticket.caller)
         held = 0.0 if backlog is None else backlog.cost
         return (held + ticket.cost) / ticket.weight < self._backlogs[heaviest].weighted_cost
 
-    def _evict_newest(self, caller: str) -> Ticket[T]:
+    def _evict_newest(self, caller: str) -> FairQueueItem[T]:
         backlog = self._backlogs[caller]
         newest = next(reversed(backlog.tickets.values()))
         self._detach(newest, backlog)
--- a/packages/core/src/carobspool_core/_interference.py
+++ b/packages/core/src/carobspool_core/_interference.py
@@ -2,9 +2,9 @@
 
 Load pattern: online traffic whose volume and mix change from minute to minute, on top of a
 permanent batch backlog. The observed times are compared with the undisturbed times of the same
-requests, as simulated without batch requests (`Replay`), so both follow changes of the traffic.
-Without the comparison, a burst of long prompts would look like a slowdown by batch requests and
-would stop all batch requests.
+requests, as simulated without batch requests (`BaselineReplay`), so both follow changes of the
+traffic. Without the comparison, a burst of long prompts would look like a slowdown by batch
+requests and would stop all batch requests.
 """
 
 from __future__ import annotations
@@ -93,12 +93,12 @@
 
     def record_replayed_step(self, step: ReplayedStep) -> None:
         """Record a step of the replay."""
-        for id, undisturbed in step.first:
+        for id, undisturbed in step.first_tokens:
             observed = self._unmatched.pop(id, None)
             if observed is not None:
                 self._compare(observed[0], observed[1], undisturbed)
-        if step.tokens:
-            self._steps.append((step.length, step.tokens))
+        if step.later_tokens:
+            self._steps.append((step.length, step.later_tokens))
             self._unsorted_steps += 1
 
     def pop_excess(self) -> float:
--- a/packages/core/src/carobspool_core/_limits.py
+++ b/packages/core/src/carobspool_core/_limits.py
@@ -26,10 +26,10 @@
 from carobspool_core._shares import (
     NO_DEMAND,
     Demand,
+    DemandReport,
     PeerDemands,
     Subject,
     SubjectKind,
-    UsageReport,
     share_count,
     share_rate,
 )
@@ -62,7 +62,7 @@
         self._last_measured = clock.now()
 
     @property
-    def accounts(self) -> int:
+    def account_count(self) -> int:
         """Number of callers and organisations with state."""
         return len(self._accounts)
 
@@ -111,7 +111,7 @@
             account.in_flight -= 1
             account.tokens.refund(grant.cost_tokens - used_tokens)
 
-    def report(self, now: Millis) -> UsageReport:
+    def measure_demand(self, now: Millis) -> DemandReport:
         """Return this entry's demand, to be sent to the other entries about once a second.
 
         Also measures the demand, drops expired reports and idle accounts, and updates the shares.
@@ -135,12 +135,12 @@
             if account.reported is not before:
                 self._update_share(subject, account, now)
         self._last_measured = now
-        return UsageReport(entry=self._entry, demands=demands)
+        return DemandReport(entry=self._entry, demands=demands)
 
-    def merge(self, report: UsageReport, now: Millis) -> None:
+    def apply_report(self, report: DemandReport, now: Millis) -> None:
         """Apply the report of another entry."""
         before = self._peers.missing
-        self._peers.merge(report, now)
+        self._peers.apply_report(report, now)
         if self._peers.missing != before:
             self._update_all_shares(now)
             return
@@ -149,7 +149,7 @@
             if account is not None:
                 self._update_share(subject, account, now)
 
-    def set_entries(self, live: Sequence[str], now: Millis | None = None) -> None:
+    def set_live_entries(self, live: Sequence[str], now: Millis | None = None) -> None:
         """Set which entries are live; they take over the shares of entries that are not."""
         self._peers.set_live(live)
         self._update_all_shares(self._last_measured if now is None else now)
@@ -212,7 +212,7 @@
 
     Args:
         clock: Read once, at the start of the first measurement.
-        entry: Name of the entry, as in the lists passed to `Limiter.set_entries`.
+        entry: Name of the entry, as in the lists passed to `Limiter.set_live_entries`.
 
     Since 0.1.
     """
--- a/packages/core/src/carobspool_core/_pacing.py
+++ b/packages/core/src/carobspool_core/_pacing.py
@@ -23,7 +23,7 @@
 from carobspool_core._config import OnlineSlowdown
 from carobspool_core._interference import QUANTILE, InterferenceMeter
 from carobspool_core._messages import RequestId
-from carobspool_core._replay import Replay
+from carobspool_core._replay import BaselineReplay
 from carobspool_core._stepmodel import Step, StepModel
 from carobspool_core._streams import Streams
 
@@ -72,7 +72,7 @@
         self._allowance = allowance
         self._steps = StepModel()
         self._interference = InterferenceMeter(slowdown.first_token)
-        self._replay = Replay(slots)
+        self._replay = BaselineReplay(slots)
         self._budget = 0.0
         self._first_token_budget = 0.0
         self._no_prompt_until: Millis = 0.0
@@ -104,13 +104,13 @@
             prompt_tokens: Estimated prompt tokens.
             submitted_at: When the request was submitted to admission.
         """
-        self._replay.arrived(id, prompt_tokens, submitted_at)
+        self._replay.record_arrival(id, prompt_tokens, submitted_at)
         self._interference.record_offer(id, submitted_at)
 
     def record_end(self, id: RequestId, tokens: int) -> None:
         """Record the end of an online request that received ``tokens`` answer tokens."""
         self._interference.drop(id)
-        self._replay.ended(id, tokens)
+        self._replay.record_end(id, tokens)
 
     def record_step(self, step: Step) -> None:
         """Record a step of the upstream."""
@@ -141,7 +141,7 @@
         if not self.in_burst(now):
             return self._slots
         baseline = self._interference.first_token_baseline()
-        stream = self._steps.costs.stream
+        stream = self._steps.costs.per_stream
         minimum = round(_MIN_BATCH_SHARE * self._slots)
         if baseline is None or stream <= 0.0:
             return minimum
--- a/packages/core/src/carobspool_core/_replay.py
+++ b/packages/core/src/carobspool_core/_replay.py
@@ -45,16 +45,16 @@
 
     Attributes:
         length: Duration of the step.
-        tokens: Number of streams that got a token other than their first.
-        first: Requests that got their first token, each with its time to first token.
+        later_tokens: Number of streams that got a token other than their first.
+        first_tokens: Requests that got their first token, each with its time to first token.
     """
 
     length: Millis
-    tokens: int
-    first: tuple[tuple[RequestId, Millis], ...]
+    later_tokens: int
+    first_tokens: tuple[tuple[RequestId, Millis], ...]
 
 
-class Replay:
+class BaselineReplay:
     """Simulates an upstream that runs only the online requests.
 
     Args:
@@ -68,14 +68,14 @@
         self._requests: OrderedDict[RequestId, _ReplayedRequest] = OrderedDict()
         self._decoding: list[RequestId] = []
 
-    def arrived(self, id: RequestId, prompt_tokens: int, now: Millis) -> None:
+    def record_arrival(self, id: RequestId, prompt_tokens: int, now: Millis) -> None:
         """Record the arrival of an online request."""
         if len(self._requests) >= _MAX_REQUESTS:
             return
         self._requests[id] = _ReplayedRequest(arrived=now, prompt_tokens=prompt_tokens)
         self._arrivals.append(id)
 
-    def ended(self, id: RequestId, tokens: int) -> None:
+    def record_end(self, id: RequestId, tokens: int) -> None:
         """Record that the real request ended after ``tokens`` tokens."""
         request = self._requests.get(id)
         if request is not None:
@@ -104,12 +104,12 @@
         prompts = self._admit()
         tokens = sum(self._requests[id].prompt_tokens for id in prompts)
         decoding = len(self._decoding)
-        length = costs.base + costs.stream * decoding + costs.prefill * tokens
+        length = costs.fixed + costs.per_stream * decoding + costs.per_prompt_token * tokens
         self._now += max(1.0, length)
-        first = tuple((id, self._now - self._requests[id].arrived) for id in prompts)
+        first_tokens = tuple((id, self._now - self._requests[id].arrived) for id in prompts)
         self._decoding += prompts
         self._emit_tokens()
-        return ReplayedStep(length=length, tokens=decoding, first=first)
+        return ReplayedStep(length=length, later_tokens=decoding, first_tokens=first_tokens)
 
     def _admit(self) -> list[RequestId]:
         """Remove and return the arrived requests that get a free slot."""
--- a/packages/core/src/carobspool_core/_shares.py
+++ b/packages/core/src/carobspool_core/_shares.py
@@ -73,7 +73,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class UsageReport:
+class DemandReport:
     """Report of one entry's demand to the other entries.
 
     Subjects whose demand is small compared with an equal share of their limit are left out.
@@ -130,7 +130,7 @@
         for entry in [entry for entry in self._report_times if entry not in self._live]:
             self._drop_report(entry)
 
-    def merge(self, report: UsageReport, now: Millis) -> None:
+    def apply_report(self, report: DemandReport, now: Millis) -> None:
         """Replace the last report of the same entry; ignore an entry that is not live."""
         if report.entry not in self._live:
             return
--- a/packages/core/src/carobspool_core/_spans.py
+++ b/packages/core/src/carobspool_core/_spans.py
@@ -11,7 +11,7 @@
 Spans = tuple[Span, ...]
 
 
-def spans_of(indexes: Iterable[int]) -> Spans:
+def spans_from_indexes(indexes: Iterable[int]) -> Spans:
     """Return the spans that contain exactly ``indexes``."""
     merged: list[Span] = []
     for index in sorted(set(indexes)):
@@ -22,18 +22,18 @@
     return tuple(merged)
 
 
-def span_indexes(spans: Spans) -> Iterator[int]:
+def iterate_indexes(spans: Spans) -> Iterator[int]:
     """Yield the indexes in ascending order."""
     for start, stop in spans:
         yield from range(start, stop)
 
 
-def span_count(spans: Spans) -> int:
+def count_indexes(spans: Spans) -> int:
     """Return the number of indexes in ``spans``."""
     return sum(stop - start for start, stop in spans)
 
 
-def unite_spans(first: Spans, second: Spans) -> Spans:
+def union_spans(first: Spans, second: Spans) -> Spans:
     """Return the union of two sets of spans."""
     merged: list[Span] = []
     for start, stop in sorted([*first, *second]):
--- a/packages/core/src/carobspool_core/_stepmodel.py
+++ b/packages/core/src/carobspool_core/_stepmodel.py
@@ -7,7 +7,7 @@
 The sidecar sees every token, and a batching engine produces one token for each decoding stream in
 each step. A new step therefore begins when a stream that already had a token in the current step
 receives the next one. The length of a step is fitted as
-``base + stream x decoding streams + prefill x prompt tokens``.
+``fixed + per_stream x decoding streams + per_prompt_token x prompt tokens``.
 """
 
 from __future__ import annotations
@@ -37,9 +37,9 @@
 class StepCosts:
     """Costs of a step: the fixed part, the cost per decoding stream and per prompt token."""
 
-    base: Millis
-    stream: Millis
-    prefill: Millis
+    fixed: Millis
+    per_stream: Millis
+    per_prompt_token: Millis
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -86,8 +86,12 @@
     @property
     def costs(self) -> StepCosts:
         """The costs as fitted so far."""
-        base, stream, prefill = self._fit.coefficients
-        return StepCosts(base=base, stream=stream, prefill=prefill / _PREFILL_UNIT_TOKENS)
+        fixed, per_stream, per_hundred_prompt_tokens = self._fit.coefficients
+        return StepCosts(
+            fixed=fixed,
+            per_stream=per_stream,
+            per_prompt_token=per_hundred_prompt_tokens / _PREFILL_UNIT_TOKENS,
+        )
 
     def record_idle(self) -> None:
         """Record that no stream is running; the time until the next start belongs to no step."""
@@ -155,7 +159,10 @@
         if not self.is_ready:
             return 0.0
         costs = self.costs
-        return costs.stream * self._batch_decoding + costs.prefill * self._batch_prompt_tokens
+        return (
+            costs.per_stream * self._batch_decoding
+            + costs.per_prompt_token * self._batch_prompt_tokens
+        )
 
     def _reset_step(self) -> None:
         self._streams_in_step.clear()
--- a/packages/core/src/carobspool_core/_tickets.py
+++ b/packages/core/src/carobspool_core/_tickets.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Ticket(Generic[T]):
+class FairQueueItem(Generic[T]):
     """One waiting request.
 
     Attributes:
--- a/packages/core/tests/test_chunks.py
+++ b/packages/core/tests/test_chunks.py
@@ -18,10 +18,10 @@
     commit_part,
     declare_intents,
     finished,
+    iterate_indexes,
     read_chunk,
     release_chunk,
-    span_indexes,
-    spans_of,
+    spans_from_indexes,
     stop_chunk,
 )
 from carobspool_core import chunk_value as to_value
@@ -33,7 +33,11 @@
 
 def _part(indexes: set[int]) -> ResultPart:
     return ResultPart(
-        spans=spans_of(indexes), completed=len(indexes), failed=0, output_bytes=1, error_bytes=0
+        spans=spans_from_indexes(indexes),
+        completed=len(indexes),
+        failed=0,
+        output_bytes=1,
+        error_bytes=0,
     )
 
 
@@ -73,7 +77,7 @@
         state = self.reads[holder.node][1]
         if state is None:
             return
-        if self._write(holder, declare_intents(state, holder, spans_of(indexes))):
+        if self._write(holder, declare_intents(state, holder, spans_from_indexes(indexes))):
             self.started.extend(indexes)
 
     @rule(holder=st.sampled_from(HOLDERS), indexes=INDEXES)
@@ -100,7 +104,7 @@
     def results_never_disappear(self) -> None:
         if self.state is None:
             return
-        assert sorted(self.results) == list(span_indexes(finished(self.state)))
+        assert sorted(self.results) == list(iterate_indexes(finished(self.state)))
         assert read_chunk(to_value(self.state)) == self.state
 
     def _write(self, holder: Holder, change: Result[ChunkState, ChunkRefusal]) -> bool:
--- a/packages/core/tests/test_fairqueue.py
+++ b/packages/core/tests/test_fairqueue.py
@@ -9,17 +9,19 @@
 from hypothesis import strategies as st
 from returns.pipeline import is_successful
 
-from carobspool_core import FairQueue, QueueBounds, RequestId, Ticket, make_fair_queue
+from carobspool_core import FairQueue, FairQueueItem, QueueBounds, RequestId, make_fair_queue
 
 FAR = 1e12
 
 
 def make_ticket(
     count: int, caller: str, *, cost: float = 100.0, weight: float = 1.0, start_by: float = FAR
-) -> Ticket[str]:
+) -> FairQueueItem[str]:
     """Return a ticket whose item is its caller."""
     id = RequestId("entry", count)
-    return Ticket(id=id, caller=caller, weight=weight, cost=cost, start_by=start_by, item=caller)
+    return FairQueueItem(
+        id=id, caller=caller, weight=weight, cost=cost, start_by=start_by, item=caller
+    )
 
 
 def fill(queue: FairQueue[str], callers: dict[str, int], weights: dict[str, float]) -> None:
@@ -59,7 +61,7 @@
 def test_request_that_cannot_start_in_time_is_refused_with_a_retry_delay() -> None:
     """With 1,000 tokens queued at one per millisecond, a 500 ms deadline is refused immediately."""
     queue: FairQueue[str] = make_fair_queue()
-    queue.set_rate(1.0)
+    queue.set_throughput(1.0)
     fill(queue, {"editor": 10}, {})
     refusal = queue.push(make_ticket(11, "editor", start_by=500.0), 0.0).failure()
     assert refusal.status == 429
@@ -95,7 +97,7 @@
     queue: FairQueue[str] = make_fair_queue(QueueBounds(total=6, per_caller=4))
     queued: set[RequestId] = set()
     for now, (action, caller, cost) in enumerate(steps):
-        removed_tickets: list[Ticket[str]] = []
+        removed_tickets: list[FairQueueItem[str]] = []
         if action <= 1:
             ticket = make_ticket(now, caller, cost=cost, start_by=now + cost)
             pushed = queue.push(ticket, now)
--- a/packages/core/tests/test_limits.py
+++ b/packages/core/tests/test_limits.py
@@ -10,12 +10,12 @@
 
 from carobspool_core import (
     Caller,
+    DemandReport,
     Grant,
     Limiter,
     Limits,
     ManualClock,
     Organisation,
-    UsageReport,
     make_limiter,
 )
 
@@ -43,7 +43,7 @@
         self.peak = 0
         self.held: deque[tuple[float, Limiter, Grant]] = deque()
         for limiter in self.limiters.values():
-            limiter.set_entries(self.names)
+            limiter.set_live_entries(self.names)
 
     def run(self, caller: Caller, rates: dict[str, float], minutes: int, cost: int = 100) -> None:
         """Offer requests at the given rate per second and entry; each runs for two seconds."""
@@ -70,19 +70,21 @@
 
     def exchange(self) -> None:
         now = self.clock.now()
-        reports: list[UsageReport] = [
-            limiter.report(now) for name, limiter in self.limiters.items() if name in self.names
+        reports: list[DemandReport] = [
+            limiter.measure_demand(now)
+            for name, limiter in self.limiters.items()
+            if name in self.names
         ]
         for name in self.names:
             for report in reports:
                 if report.entry != name and self.rng.random() >= self.loss:
-                    self.limiters[name].merge(report, now)
+                    self.limiters[name].apply_report(report, now)
 
     def remove(self, name: str) -> None:
         """Remove an entry that fails without notice; the others learn it from the host list."""
         self.names.remove(name)
         for other in self.names:
-            self.limiters[other].set_entries(self.names)
+            self.limiters[other].set_live_entries(self.names)
 
 
 SPREADS = {
@@ -180,8 +182,8 @@
         organisation = Organisation(name=f"clinic-{index}", limits=limits)
         grant = limiter.admit(caller, organisation, 100, 0.0).unwrap()
         limiter.release(grant, 80, 0.0)
-    assert limiter.accounts == 30_000
+    assert limiter.account_count == 30_000
     for second in range(1, 61):
-        report = limiter.report(second * 1000.0)
-    assert limiter.accounts == 0
+        report = limiter.measure_demand(second * 1000.0)
+    assert limiter.account_count == 0
     assert report.demands == {}
--- a/packages/node/src/carobspool_node/callers/_shared_limits.py
+++ b/packages/node/src/carobspool_node/callers/_shared_limits.py
@@ -12,6 +12,7 @@
     Caller,
     Clock,
     Demand,
+    DemandReport,
     Failure,
     Grant,
     Hint,
@@ -21,7 +22,6 @@
     Organisation,
     Subject,
     SubjectKind,
-    UsageReport,
 )
 
 IDLE_INTERVAL: Millis = 2_500.0
@@ -71,8 +71,8 @@
         """
         now = self._clock.now()
         with self._lock:
-            self._limiter.set_entries(live, now)
-            report = self._limiter.report(now)
+            self._limiter.set_live_entries(live, now)
+            report = self._limiter.measure_demand(now)
         if not report.demands and now - self._told_at < IDLE_INTERVAL:
             return
         # Told also without demand: an entry that is not heard keeps its equal part set aside.
@@ -87,10 +87,10 @@
             logging.warning("event=usage_unreadable entry=%s error=%s", hint.subject, error)
             return
         with self._lock:
-            self._limiter.merge(report, self._clock.now())
+            self._limiter.apply_report(report, self._clock.now())
 
 
-def report_values(report: UsageReport) -> dict[str, str]:
+def report_values(report: DemandReport) -> dict[str, str]:
     """Return a report as the values of a hint."""
     return {
         f"{subject.kind.value}{_SEPARATOR}{subject.name}": (
@@ -101,7 +101,7 @@
     }
 
 
-def read_report(entry: str, values: Mapping[str, str]) -> UsageReport:
+def read_report(entry: str, values: Mapping[str, str]) -> DemandReport:
     """Return the report that a hint's values hold.
 
     Raises:
@@ -117,4 +117,4 @@
             concurrent=float(concurrent),
             in_flight=int(in_flight),
         )
-    return UsageReport(entry=entry, demands=demands)
+    return DemandReport(entry=entry, demands=demands)
--- a/packages/node/src/carobspool_node/jobs/_job_results.py
+++ b/packages/node/src/carobspool_node/jobs/_job_results.py
@@ -29,7 +29,7 @@
     add_counts,
     broken_upstream,
     read_chunk,
-    spans_of,
+    spans_from_indexes,
 )
 from carobspool_node.errors import ContentUnavailableError
 from carobspool_node.store import MAX_PACKED_CHARACTERS, pack, unpack
@@ -103,7 +103,7 @@
     good = [each for each in ordered if not each.failed]
     bad = [each for each in ordered if each.failed]
     part = ResultPart(
-        spans=spans_of(each.index for each in ordered),
+        spans=spans_from_indexes(each.index for each in ordered),
         completed=len(good),
         failed=len(bad),
         output_bytes=_size(good),
--- a/packages/node/src/carobspool_node/jobs/_owned_chunk.py
+++ b/packages/node/src/carobspool_node/jobs/_owned_chunk.py
@@ -16,11 +16,11 @@
     Holder,
     ItemOutcome,
     Millis,
+    count_indexes,
     finished,
     item_retry,
-    span_count,
-    span_indexes,
-    spans_of,
+    iterate_indexes,
+    spans_from_indexes,
     unfinished,
 )
 from carobspool_node.jobs._chunk_store import ChunkWrite, Ending, Standing
@@ -92,7 +92,7 @@
     @property
     def declaring(self) -> int:
         """Number of items whose intents are being written."""
-        return 0 if self._writing is None else span_count(self._writing.declare)
+        return 0 if self._writing is None else count_indexes(self._writing.declare)
 
     @property
     def ending(self) -> Ending | None:
@@ -189,9 +189,9 @@
         state = standing.state
         if state.holder != holder or state.status is not ChunkStatus.CLAIMED:
             return False
-        for index in span_indexes(finished(state)):
+        for index in iterate_indexes(finished(state)):
             self._results.pop(index, None)
-        declared = set(span_indexes(state.intents))
+        declared = set(iterate_indexes(state.intents))
         self._ready.extend(index for index in self._undeclared if index in declared)
         self._undeclared = deque(index for index in self._undeclared if index not in declared)
         return True
@@ -202,8 +202,8 @@
         An item that an earlier holder may have started ends as unknown. Running it again could
         send a second letter to the same poet.
         """
-        abandoned = set(span_indexes(self._standing.state.abandoned))
-        for index in span_indexes(unfinished(self._standing.state)):
+        abandoned = set(iterate_indexes(self._standing.state.abandoned))
+        for index in iterate_indexes(unfinished(self._standing.state)):
             if index in abandoned:
                 self._results[index] = abandoned_result(self._items[index])
                 continue
@@ -217,15 +217,15 @@
         if self._ending is not None:
             if self._running:
                 return None
-            withdraw = spans_of(
+            withdraw = spans_from_indexes(
                 index
-                for index in span_indexes(self._standing.state.intents)
+                for index in iterate_indexes(self._standing.state.intents)
                 if index not in self._started
             )
             return ChunkWrite(results=results, withdraw=withdraw, ending=self._ending)
         declare = tuple(self._undeclared)[:DECLARED_AHEAD]
         if declare and may_declare and not self._ready:
-            return ChunkWrite(results=results, declare=spans_of(declare))
+            return ChunkWrite(results=results, declare=spans_from_indexes(declare))
         if results and self._commit_is_due(now):
             return ChunkWrite(results=results)
         return None
@@ -237,7 +237,7 @@
         failure; writing often costs the store, for every chunk of the fleet at once. Results of
         non-idempotent items cannot be made again and are written within a second.
         """
-        left = self._standing.state.items - span_count(finished(self._standing.state))
+        left = self._standing.state.items - count_indexes(finished(self._standing.state))
         if len(self._results) == left:
             return True
         waited = now - self._written_at
--- a/packages/node/tests/_job_fleet.py
+++ b/packages/node/tests/_job_fleet.py
@@ -21,11 +21,11 @@
     Holder,
     ItemOutcome,
     Job,
+    count_indexes,
     finished,
     monotonic_clock,
     read_chunk,
     read_job,
-    span_count,
 )
 from carobspool_node.jobs._files import create_file
 from carobspool_node.jobs._job_intake import Submission, submit
@@ -238,8 +238,8 @@
                 earlier = read_chunk(before)
                 assert state.parts[: len(earlier.parts)] == earlier.parts
                 assert earlier.status.value != "done", "a finished chunk was written again"
-            spans = sum(span_count(part.spans) for part in state.parts)
-            assert spans == span_count(finished(state)), "an item has two results"
+            spans = sum(count_indexes(part.spans) for part in state.parts)
+            assert spans == count_indexes(finished(state)), "an item has two results"
             last[record.key] = record.value
 
     def stop(self) -> None:
--- a/tools/cost_admission.py
+++ b/tools/cost_admission.py
@@ -10,13 +10,13 @@
     AdmissionRequest,
     AdmissionSettings,
     Caller,
+    FairQueueItem,
     Limits,
     ManualClock,
     Organisation,
     Priority,
     QueueBounds,
     RequestId,
-    Ticket,
     make_admission,
     make_fair_queue,
     make_limiter,
@@ -38,12 +38,12 @@
 def queue_costs(callers: int) -> tuple[float, float, float]:
     """Return the cost of push, pop and remove with one request of each caller waiting."""
     queue = make_fair_queue(QueueBounds(total=4 * callers, per_caller=64))
-    queue.set_rate(1.0)
+    queue.set_throughput(1.0)
 
-    def ticket(index: int) -> Ticket[int]:
+    def ticket(index: int) -> FairQueueItem[int]:
         id = RequestId("e", index)
         name = f"caller-{index % callers}"
-        return Ticket(
+        return FairQueueItem(
             id=id, caller=name, weight=1.0, cost=100 + index % 900, start_by=FAR, item=index
         )
 
@@ -57,7 +57,7 @@
 def limiter_costs(callers: int) -> tuple[float, float, float, int]:
     """Return the cost of admit and release, of a report over all, and bytes an active account."""
     limiter = make_limiter(ManualClock(), "entry-0")
-    limiter.set_entries([f"entry-{index}" for index in range(4)])
+    limiter.set_live_entries([f"entry-{index}" for index in range(4)])
     limits = Limits(requests_per_minute=600, tokens_per_minute=600_000, concurrent=32)
     names = [f"organisation-{index}" for index in range(callers)]
     organisations = [Organisation(name=name, limits=limits) for name in names]
@@ -68,7 +68,7 @@
     tracemalloc.stop()
     release = measure(callers, lambda index: limiter.release(grants[index], 100, 0.0))
     admit = measure(callers, lambda index: limiter.admit(caller, organisations[index], 1, 1.0))
-    report = measure(1, lambda index: limiter.report(1000.0))
+    report = measure(1, lambda index: limiter.measure_demand(1000.0))
     return admit + release, report, report / callers, size
 
 
