--- a/packages/core/src/carobspool_core/_chunks.py
+++ b/packages/core/src/carobspool_core/_chunks.py
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Holder:
+class ChunkHolder:
     """A process that can hold chunks: the name of its node and its incarnation."""
 
     node: str
@@ -90,7 +90,7 @@
         parts: Results, one part for each commit; the spans of the parts are disjoint.
     """
 
-    holder: Holder
+    holder: ChunkHolder
     status: ChunkStatus
     items: int
     intents: Spans = ()
@@ -98,10 +98,10 @@
     parts: tuple[ResultPart, ...] = ()
 
 
-ChunkChange = Callable[[ChunkState], Result[ChunkState, ChunkRefusal]]
+ChunkTransition = Callable[[ChunkState], Result[ChunkState, ChunkRefusal]]
 
 
-def chunk_items(shaping: BatchShaping, items: int) -> int:
+def max_items_per_chunk(shaping: BatchShaping, items: int) -> int:
     """Return the largest number of items in a chunk of a job of ``items`` items.
 
     A chunk costs three to four writes, regardless of its size, and the store handles a few hundred
@@ -114,13 +114,13 @@
     return min(max(base_size, scaled_size), MAX_CHUNK_ITEMS)
 
 
-def chunk_bytes(shaping: BatchShaping, items: int) -> int:
+def max_bytes_per_chunk(shaping: BatchShaping, items: int) -> int:
     """Return the compressed size limit, in bytes, of a chunk of a job of ``items`` items."""
-    factor = chunk_items(shaping, items) / max(1, shaping.chunk_items)
+    factor = max_items_per_chunk(shaping, items) / max(1, shaping.chunk_items)
     return int(min(shaping.chunk_bytes * max(1.0, factor), MAX_CHUNK_BYTES))
 
 
-def finished(state: ChunkState) -> Spans:
+def finished_items(state: ChunkState) -> Spans:
     """Return the items that have a result."""
     spans: Spans = ()
     for part in state.parts:
@@ -128,13 +128,13 @@
     return spans
 
 
-def unfinished(state: ChunkState) -> Spans:
+def unfinished_items(state: ChunkState) -> Spans:
     """Return the items that have no result."""
-    return subtract_spans(((0, state.items),), finished(state))
+    return subtract_spans(((0, state.items),), finished_items(state))
 
 
 def claim_chunk(
-    state: ChunkState | None, holder: Holder, *, items: int, holder_is_dead: bool
+    state: ChunkState | None, holder: ChunkHolder, *, items: int, holder_is_dead: bool
 ) -> Result[ChunkState, ChunkRefusal]:
     """Claim a chunk that is unclaimed, released, or held by a dead process.
 
@@ -163,25 +163,25 @@
             holder=holder,
             status=ChunkStatus.CLAIMED,
             intents=(),
-            abandoned=subtract_spans(declared, finished(state)),
+            abandoned=subtract_spans(declared, finished_items(state)),
         )
     )
 
 
 def declare_intents(
-    state: ChunkState, holder: Holder, spans: Spans
+    state: ChunkState, holder: ChunkHolder, spans: Spans
 ) -> Result[ChunkState, ChunkRefusal]:
     """Record that the holder is about to start non-idempotent items."""
     if refusal := _refusal(state, holder):
         return Failure(refusal)
-    unavailable = union_spans(finished(state), union_spans(state.intents, state.abandoned))
+    unavailable = union_spans(finished_items(state), union_spans(state.intents, state.abandoned))
     if spans_overlap(spans, unavailable):
         return Failure(ChunkRefusal.ALREADY_FINISHED)
     return Success(replace(state, intents=union_spans(state.intents, spans)))
 
 
 def withdraw_intents(
-    state: ChunkState, holder: Holder, spans: Spans
+    state: ChunkState, holder: ChunkHolder, spans: Spans
 ) -> Result[ChunkState, ChunkRefusal]:
     """Remove the intents of items that the holder has certainly not started."""
     if refusal := _refusal(state, holder):
@@ -190,12 +190,12 @@
 
 
 def commit_part(
-    state: ChunkState, holder: Holder, part: ResultPart
+    state: ChunkState, holder: ChunkHolder, part: ResultPart
 ) -> Result[ChunkState, ChunkRefusal]:
     """Add results; the chunk is done when every item has one."""
     if refusal := _refusal(state, holder):
         return Failure(refusal)
-    if spans_overlap(part.spans, finished(state)):
+    if spans_overlap(part.spans, finished_items(state)):
         return Failure(ChunkRefusal.ALREADY_FINISHED)
     after = replace(
         state,
@@ -203,26 +203,28 @@
         intents=subtract_spans(state.intents, part.spans),
         abandoned=subtract_spans(state.abandoned, part.spans),
     )
-    if count_indexes(finished(after)) == after.items:
+    if count_indexes(finished_items(after)) == after.items:
         after = replace(after, status=ChunkStatus.DONE)
     return Success(after)
 
 
-def stop_chunk(state: ChunkState, holder: Holder) -> Result[ChunkState, ChunkRefusal]:
+def close_cancelled_chunk(
+    state: ChunkState, holder: ChunkHolder
+) -> Result[ChunkState, ChunkRefusal]:
     """Mark a chunk of a cancelled job as done; its unfinished items stay without a result."""
     if refusal := _refusal(state, holder):
         return Failure(refusal)
     return Success(replace(state, status=ChunkStatus.DONE))
 
 
-def release_chunk(state: ChunkState, holder: Holder) -> Result[ChunkState, ChunkRefusal]:
+def release_chunk(state: ChunkState, holder: ChunkHolder) -> Result[ChunkState, ChunkRefusal]:
     """Release a claim, so that another process can claim the chunk before the lease expires."""
     if refusal := _refusal(state, holder):
         return Failure(refusal)
     return Success(replace(state, status=ChunkStatus.RELEASED))
 
 
-def _refusal(state: ChunkState, holder: Holder) -> ChunkRefusal | None:
+def _refusal(state: ChunkState, holder: ChunkHolder) -> ChunkRefusal | None:
     """Return why ``holder`` may not change the chunk; ``None`` if it may."""
     if state.status is ChunkStatus.DONE:
         return ChunkRefusal.DONE
--- a/packages/core/src/carobspool_core/_dispatch.py
+++ b/packages/core/src/carobspool_core/_dispatch.py
@@ -20,7 +20,7 @@
 import itertools
 
 from carobspool_core._clock import Clock, Millis
-from carobspool_core._dispatch_jobs import JobShare, OrganisationQueue, QueuedJob
+from carobspool_core._dispatch_jobs import DispatchJob, OrganisationQueue, QueuedJob
 from carobspool_core._due_times import URGENT_SHARE, DueTimeMonitor
 
 
@@ -29,15 +29,15 @@
 
     Args:
         clock: The process's clock.
-        entries: Number of entries that work on the same jobs; the rate at which jobs progress is
-            this entry's rate times this number.
+        entry_count: Number of entries that work on the same jobs; the rate at which jobs progress
+            is this entry's rate times this number.
 
     Since 0.1.
     """
 
     __slots__ = (
         "_due_times",
-        "_entries",
+        "_entry_count",
         "_jobs",
         "_organisations",
         "_ready",
@@ -46,8 +46,8 @@
         "_urgent_credits",
     )
 
-    def __init__(self, clock: Clock, entries: int) -> None:
-        self._entries = entries
+    def __init__(self, clock: Clock, entry_count: int) -> None:
+        self._entry_count = entry_count
         self._jobs: dict[str, QueuedJob] = {}
         self._organisations: dict[str, OrganisationQueue] = {}
         self._ready: list[tuple[float, int, OrganisationQueue]] = []
@@ -57,29 +57,29 @@
         self._due_times = DueTimeMonitor(clock.now())
 
     @property
-    def entries(self) -> int:
+    def entry_count(self) -> int:
         """Number of entries that work on the same jobs."""
-        return self._entries
+        return self._entry_count
 
-    @entries.setter
-    def entries(self, count: int) -> None:
-        self._entries = max(1, count)
+    @entry_count.setter
+    def entry_count(self, count: int) -> None:
+        self._entry_count = max(1, count)
 
-    def add_job(self, share: JobShare) -> None:
+    def add_job(self, job: DispatchJob) -> None:
         """Add a job that has no ready items yet, or update a job that was added before."""
-        existing = self._jobs.get(share.id)
+        existing = self._jobs.get(job.id)
         if existing is not None:
-            existing.items_left = share.items_left
-            existing.due = share.due
-            existing.organisation.weight = share.weight
+            existing.items_left = job.items_left
+            existing.due_at = job.due_at
+            existing.organisation.weight = job.weight
             return
-        organisation = self._organisations.get(share.organisation)
+        organisation = self._organisations.get(job.organisation)
         if organisation is None:
-            organisation = OrganisationQueue(share.organisation, share.weight, next(self._serials))
-            self._organisations[share.organisation] = organisation
-        organisation.weight = share.weight
+            organisation = OrganisationQueue(job.organisation, job.weight, next(self._serials))
+            self._organisations[job.organisation] = organisation
+        organisation.weight = job.weight
         organisation.job_count += 1
-        self._jobs[share.id] = QueuedJob(share, organisation, next(self._serials))
+        self._jobs[job.id] = QueuedJob(job, organisation, next(self._serials))
 
     def remove_job(self, id: str) -> None:
         """Remove a job that finished or was cancelled; its ready items are not dispatched."""
@@ -91,7 +91,7 @@
         if not job.organisation.job_count:
             self._organisations.pop(job.organisation.name, None)
 
-    def offer(self, job_id: str, count: int) -> None:
+    def add_ready_items(self, job_id: str, count: int) -> None:
         """Add ``count`` items of a job that are ready to be run at this entry."""
         job = self._jobs.get(job_id)
         if job is None or count <= 0:
@@ -100,14 +100,14 @@
         self._enqueue(job)
         self._due_times.enqueue(job)
 
-    def take(self, credits: int, now: Millis) -> list[str]:
+    def assign_credits(self, credits: int, now: Millis) -> list[str]:
         """Assign up to ``credits`` credits to jobs, one item for each credit.
 
         Returns:
             One job id for each assigned credit, in order of dispatch; fewer than ``credits`` when
             no more items are ready.
         """
-        self._due_times.refresh(self._jobs.values(), self._entries, now)
+        self._due_times.refresh(self._jobs.values(), self._entry_count, now)
         dispatched: list[str] = []
         # The remainder carries over to the next call: credits may arrive singly, and half of one
         # credit would round to none or to all of it.
@@ -158,13 +158,13 @@
         heapq.heappush(self._ready, (organisation.virtual_time, organisation.serial, organisation))
 
 
-def make_dispatcher(clock: Clock, *, entries: int = 1) -> Dispatcher:
+def make_dispatcher(clock: Clock, *, entry_count: int = 1) -> Dispatcher:
     """Return a dispatcher without jobs.
 
     Args:
         clock: The process's clock.
-        entries: Number of entries that work on the same jobs.
+        entry_count: Number of entries that work on the same jobs.
 
     Since 0.1.
     """
-    return Dispatcher(clock, entries)
+    return Dispatcher(clock, entry_count)
--- a/packages/core/src/carobspool_core/_dispatch_jobs.py
+++ b/packages/core/src/carobspool_core/_dispatch_jobs.py
@@ -9,21 +9,21 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class JobShare:
+class DispatchJob:
     """The data of a job that dispatch needs.
 
     Attributes:
         id: The job's id.
         organisation: Organisation that owns the job.
         weight: Weight of the organisation among all organisations.
-        due: Instant at which results are due, by the process's clock.
+        due_at: Instant at which results are due, by the process's clock.
         items_left: Number of unfinished items, over all entries.
     """
 
     id: str
     organisation: str
     weight: float
-    due: Millis
+    due_at: Millis
     items_left: int
 
 
@@ -42,7 +42,7 @@
     """
 
     __slots__ = (
-        "due",
+        "due_at",
         "id",
         "items_left",
         "organisation",
@@ -55,12 +55,12 @@
         "virtual_time",
     )
 
-    def __init__(self, share: JobShare, organisation: OrganisationQueue, serial: int) -> None:
-        self.id = share.id
+    def __init__(self, job: DispatchJob, organisation: OrganisationQueue, serial: int) -> None:
+        self.id = job.id
         self.serial = serial
         self.organisation = organisation
-        self.due = share.due
-        self.items_left = share.items_left
+        self.due_at = job.due_at
+        self.items_left = job.items_left
         self.ready_items = 0
         self.virtual_time = 0.0
         self.queued = False
--- a/packages/core/src/carobspool_core/_due_times.py
+++ b/packages/core/src/carobspool_core/_due_times.py
@@ -50,7 +50,7 @@
         if not job.urgent or job.urgent_queued or not job.ready_items:
             return
         job.urgent_queued = True
-        heapq.heappush(self._urgent, (job.due, job.serial, job))
+        heapq.heappush(self._urgent, (job.due_at, job.serial, job))
 
     def next_urgent(self, now: Millis) -> QueuedJob | None:
         """Return the urgent job that is due first, among those with ready items."""
@@ -62,7 +62,7 @@
             job.urgent_queued = False
         return None
 
-    def refresh(self, jobs: Iterable[QueuedJob], entries: int, now: Millis) -> None:
+    def refresh(self, jobs: Iterable[QueuedJob], entry_count: int, now: Millis) -> None:
         """Find the urgent jobs again, unless the last check is less than an interval ago.
 
         A job is urgent when its due time is no later than the last due time at risk.
@@ -70,13 +70,13 @@
         if now - self._checked_at < CHECK_INTERVAL:
             return
         self._checked_at = now
-        rate = self._rate * entries * URGENT_SHARE
-        not_yet_due = sorted((job for job in jobs if job.due > now), key=_due)
+        rate = self._rate * entry_count * URGENT_SHARE
+        not_yet_due = sorted((job for job in jobs if job.due_at > now), key=_due)
         items = 0
         at_risk = 0
         for position, job in enumerate(not_yet_due, start=1):
             items += job.items_left
-            if rate and items > rate * (job.due - now):
+            if rate and items > rate * (job.due_at - now):
                 at_risk = position
         self._urgent = []
         for position, job in enumerate(not_yet_due):
@@ -108,4 +108,4 @@
 
 
 def _due(job: QueuedJob) -> Millis:
-    return job.due
+    return job.due_at
--- a/packages/core/src/carobspool_core/_job_records.py
+++ b/packages/core/src/carobspool_core/_job_records.py
@@ -5,18 +5,18 @@
 import dataclasses
 
 from carobspool_core._audit import AuditRecord
-from carobspool_core._chunks import ChunkState, ChunkStatus, Holder, ResultPart
+from carobspool_core._chunks import ChunkHolder, ChunkState, ChunkStatus, ResultPart
 from carobspool_core._jobs import Job, JobCounts, JobStatus
 from carobspool_core._ports import Json
 from carobspool_core._spans import Spans
 
 
-def job_value(job: Job) -> Json:
+def job_to_json(job: Job) -> Json:
     """Return the JSON value in which a job is stored."""
     return dataclasses.asdict(job)
 
 
-def read_job(value: Json) -> Job:
+def job_from_json(value: Json) -> Job:
     """Return the job that is stored in a JSON value.
 
     Raises:
@@ -35,12 +35,12 @@
     )
 
 
-def chunk_value(state: ChunkState) -> Json:
+def chunk_to_json(state: ChunkState) -> Json:
     """Return the JSON value in which a chunk state is stored."""
     return dataclasses.asdict(state)
 
 
-def read_chunk(value: Json) -> ChunkState:
+def chunk_from_json(value: Json) -> ChunkState:
     """Return the chunk state that is stored in a JSON value.
 
     Raises:
@@ -49,7 +49,7 @@
         ValueError: If a status is unknown.
     """
     return ChunkState(
-        holder=Holder(**value["holder"]),
+        holder=ChunkHolder(**value["holder"]),
         status=ChunkStatus(value["status"]),
         items=value["items"],
         intents=_read_spans(value["intents"]),
--- a/packages/core/src/carobspool_core/_jobs.py
+++ b/packages/core/src/carobspool_core/_jobs.py
@@ -14,7 +14,7 @@
 
 DIGEST_LENGTH = 32
 ORGANISATION_DIGEST_LENGTH = 8
-IDEMPOTENT_METADATA = "carobspool-idempotent"
+IDEMPOTENT_METADATA_KEY = "carobspool-idempotent"
 PROGRESS_STEPS = 4
 
 
@@ -194,14 +194,14 @@
     return Success(replace(_with_status(finalizing, JobStatus.COMPLETED, at), counts=counts))
 
 
-def report_progress(job: Job, counts: JobCounts) -> Result[Job, JobRefusal]:
+def with_counts(job: Job, counts: JobCounts) -> Result[Job, JobRefusal]:
     """Record the current counts of a job that has not ended."""
     if job.ended:
         return Failure(JobRefusal.ENDED)
     return Success(replace(job, counts=counts))
 
 
-def progress_is_due(job: Job, counts: JobCounts) -> bool:
+def should_write_progress(job: Job, counts: JobCounts) -> bool:
     """Return whether the counts have grown enough since the last write to be written again.
 
     Each write of a job is sent to every entry that watches jobs, so progress is written only once
--- a/packages/core/tests/test_chunks.py
+++ b/packages/core/tests/test_chunks.py
@@ -8,26 +8,26 @@
 
 from carobspool_core import (
     BatchShaping,
+    ChunkHolder,
     ChunkRefusal,
     ChunkState,
     ChunkStatus,
-    Holder,
     ResultPart,
-    chunk_items,
+    chunk_from_json,
     claim_chunk,
+    close_cancelled_chunk,
     commit_part,
     declare_intents,
-    finished,
+    finished_items,
     iterate_indexes,
-    read_chunk,
+    max_items_per_chunk,
     release_chunk,
     spans_from_indexes,
-    stop_chunk,
 )
-from carobspool_core import chunk_value as to_value
+from carobspool_core import chunk_to_json as to_value
 
 ITEMS = 6
-HOLDERS = [Holder(node=name, incarnation=f"{name}-1") for name in ("a", "b", "c")]
+HOLDERS = [ChunkHolder(node=name, incarnation=f"{name}-1") for name in ("a", "b", "c")]
 INDEXES = st.sets(st.integers(min_value=0, max_value=ITEMS - 1), min_size=1, max_size=3)
 
 
@@ -64,16 +64,16 @@
             self.reads[holder.node] = (0, None)
 
     @rule(holder=st.sampled_from(HOLDERS))
-    def read(self, holder: Holder) -> None:
+    def read(self, holder: ChunkHolder) -> None:
         self.reads[holder.node] = (self.version, self.state)
 
     @rule(holder=st.sampled_from(HOLDERS), dead=st.booleans())
-    def claim(self, holder: Holder, dead: bool) -> None:
+    def claim(self, holder: ChunkHolder, dead: bool) -> None:
         state = self.reads[holder.node][1]
         self._write(holder, claim_chunk(state, holder, items=ITEMS, holder_is_dead=dead))
 
     @rule(holder=st.sampled_from(HOLDERS), indexes=INDEXES)
-    def declare_and_start(self, holder: Holder, indexes: set[int]) -> None:
+    def declare_and_start(self, holder: ChunkHolder, indexes: set[int]) -> None:
         state = self.reads[holder.node][1]
         if state is None:
             return
@@ -81,7 +81,7 @@
             self.started.extend(indexes)
 
     @rule(holder=st.sampled_from(HOLDERS), indexes=INDEXES)
-    def commit(self, holder: Holder, indexes: set[int]) -> None:
+    def commit(self, holder: ChunkHolder, indexes: set[int]) -> None:
         state = self.reads[holder.node][1]
         if state is None:
             return
@@ -89,11 +89,11 @@
             self.results.extend(indexes)
 
     @rule(holder=st.sampled_from(HOLDERS), stop=st.booleans())
-    def release_or_stop(self, holder: Holder, stop: bool) -> None:
+    def release_or_stop(self, holder: ChunkHolder, stop: bool) -> None:
         state = self.reads[holder.node][1]
         if state is None:
             return
-        self._write(holder, (stop_chunk if stop else release_chunk)(state, holder))
+        self._write(holder, (close_cancelled_chunk if stop else release_chunk)(state, holder))
 
     @invariant()
     def each_item_ends_and_starts_at_most_once(self) -> None:
@@ -104,10 +104,10 @@
     def results_never_disappear(self) -> None:
         if self.state is None:
             return
-        assert sorted(self.results) == list(iterate_indexes(finished(self.state)))
-        assert read_chunk(to_value(self.state)) == self.state
+        assert sorted(self.results) == list(iterate_indexes(finished_items(self.state)))
+        assert chunk_from_json(to_value(self.state)) == self.state
 
-    def _write(self, holder: Holder, change: Result[ChunkState, ChunkRefusal]) -> bool:
+    def _write(self, holder: ChunkHolder, change: Result[ChunkState, ChunkRefusal]) -> bool:
         version, _ = self.reads[holder.node]
         if version != self.version or not isinstance(change, Success):
             return False
@@ -141,7 +141,7 @@
 def test_chunk_size_grows_with_the_job() -> None:
     """The largest job has only hundreds of chunks; small jobs have chunks of 256 items."""
     shaping = BatchShaping()
-    assert chunk_items(shaping, 20) == 256
-    assert chunk_items(shaping, 2_000) == 256
-    assert chunk_items(shaping, 56_000) == 474
-    assert chunk_items(shaping, 560_000) == 1_497
+    assert max_items_per_chunk(shaping, 20) == 256
+    assert max_items_per_chunk(shaping, 2_000) == 256
+    assert max_items_per_chunk(shaping, 56_000) == 474
+    assert max_items_per_chunk(shaping, 560_000) == 1_497
--- a/packages/core/tests/test_jobs.py
+++ b/packages/core/tests/test_jobs.py
@@ -13,10 +13,10 @@
     cancel_job,
     content_job_id,
     end_job,
-    job_value,
+    job_from_json,
+    job_to_json,
     keyed_job_id,
-    progress_is_due,
-    read_job,
+    should_write_progress,
 )
 
 JOB = Job(
@@ -53,7 +53,7 @@
     assert ended.status is JobStatus.COMPLETED
     assert ended.changed_at == {"finalizing": 9.0, "completed": 9.0}
     assert end_job(ended, counts, chunks_done=2, at=9.0) == Failure(JobRefusal.ENDED)
-    assert read_job(job_value(ended)) == ended
+    assert job_from_json(job_to_json(ended)) == ended
 
 
 def test_cancel_is_recorded_once() -> None:
@@ -61,7 +61,7 @@
     cancelling = cancel_job(JOB, RECORD).unwrap()
     assert cancelling.status is JobStatus.CANCELLING
     assert cancelling.audit == (RECORD,)
-    assert read_job(job_value(cancelling)) == cancelling
+    assert job_from_json(job_to_json(cancelling)) == cancelling
     assert cancel_job(cancelling, RECORD) == Failure(JobRefusal.CANCELLING)
     ended = end_job(cancelling, JobCounts(completed=1), chunks_done=2, at=9.0).unwrap()
     assert ended.status is JobStatus.CANCELLED
@@ -70,5 +70,5 @@
 
 def test_progress_is_written_once_per_quarter() -> None:
     """Counts are written when a quarter of the items has ended since the last write."""
-    assert not progress_is_due(JOB, JobCounts(completed=1))
-    assert progress_is_due(JOB, JobCounts(completed=1, failed=1))
+    assert not should_write_progress(JOB, JobCounts(completed=1))
+    assert should_write_progress(JOB, JobCounts(completed=1, failed=1))
--- a/packages/node/src/carobspool_node/jobs/_chunk_claims.py
+++ b/packages/node/src/carobspool_node/jobs/_chunk_claims.py
@@ -8,8 +8,8 @@
 from returns.result import Failure, Result
 
 from carobspool_core import (
+    ChunkHolder,
     Clock,
-    Holder,
     Job,
     JobStatus,
     Millis,
@@ -44,7 +44,7 @@
     def __init__(
         self,
         store: ObjectStore,
-        holder: Holder,
+        holder: ChunkHolder,
         clock: Clock,
         members: Members,
         choose: Callable[[Sequence[Job]], str],
--- a/packages/node/src/carobspool_node/jobs/_chunk_store.py
+++ b/packages/node/src/carobspool_node/jobs/_chunk_store.py
@@ -11,21 +11,21 @@
 
 from carobspool_core import (
     BatchItem,
+    ChunkHolder,
     ChunkState,
     ChunkStatus,
-    Holder,
     Job,
     ObjectStore,
     Spans,
     StoreFailure,
     StoreFault,
-    chunk_value,
+    chunk_from_json,
+    chunk_to_json,
     claim_chunk,
+    close_cancelled_chunk,
     commit_part,
     declare_intents,
-    read_chunk,
     release_chunk,
-    stop_chunk,
     withdraw_intents,
 )
 from carobspool_node.jobs._job_input import read_items
@@ -80,9 +80,9 @@
     store: ObjectStore,
     job: Job,
     number: int,
-    holder: Holder,
+    holder: ChunkHolder,
     *,
-    is_dead: Callable[[Holder], bool],
+    is_dead: Callable[[ChunkHolder], bool],
 ) -> Result[Claimed | Standing, StoreFailure]:
     """Claim a chunk.
 
@@ -106,16 +106,16 @@
     store: ObjectStore,
     job: Job,
     number: int,
-    holder: Holder,
+    holder: ChunkHolder,
     *,
-    is_dead: Callable[[Holder], bool],
+    is_dead: Callable[[ChunkHolder], bool],
     stop: bool = False,
 ) -> Result[Standing, StoreFailure]:
     """Claim a chunk, or with ``stop`` end it, if it is free; return how it stands then."""
     key = chunk_key(job.id, number)
     fresh = _claimed_state(None, job, number, holder, dead=False, stop=stop)
     assert fresh is not None
-    created = store.create(key, chunk_value(fresh))
+    created = store.create(key, chunk_to_json(fresh))
     if isinstance(created, Success):
         return Success(Standing(state=fresh, version=created.unwrap().version))
     if created.failure().fault is StoreFault.UNAVAILABLE:
@@ -130,7 +130,7 @@
     wanted = _claimed_state(present.state, job, number, holder, dead=dead, stop=stop)
     if wanted is None or wanted == present.state:
         return found
-    written = store.update(key, chunk_value(wanted), version=present.version)
+    written = store.update(key, chunk_to_json(wanted), version=present.version)
     if isinstance(written, Success):
         return Success(Standing(state=wanted, version=written.unwrap().version))
     if written.failure().fault is StoreFault.UNAVAILABLE:
@@ -151,7 +151,7 @@
         return wanted
     key = chunk_key(job.id, number)
     state = wanted.unwrap()
-    written = store.update(key, chunk_value(state), version=standing.version)
+    written = store.update(key, chunk_to_json(state), version=standing.version)
     if isinstance(written, Success):
         return Success(Standing(state=state, version=written.unwrap().version))
     if written.failure().fault is StoreFault.UNAVAILABLE:
@@ -165,7 +165,7 @@
     if isinstance(found, Failure):
         return found
     stored = found.unwrap()
-    return Success(Standing(state=read_chunk(stored.value), version=stored.version))
+    return Success(Standing(state=chunk_from_json(stored.value), version=stored.version))
 
 
 def _load_items(store: ObjectStore, job: Job, number: int) -> Result[list[BatchItem], StoreFailure]:
@@ -189,7 +189,7 @@
 
 
 def _claimed_state(
-    state: ChunkState | None, job: Job, number: int, holder: Holder, *, dead: bool, stop: bool
+    state: ChunkState | None, job: Job, number: int, holder: ChunkHolder, *, dead: bool, stop: bool
 ) -> ChunkState | None:
     items = job.chunk_sizes[number]
     claimed = claim_chunk(state, holder, items=items, holder_is_dead=dead)
@@ -197,7 +197,7 @@
         return None
     if not stop:
         return claimed.unwrap()
-    return stop_chunk(claimed.unwrap(), holder).unwrap()
+    return close_cancelled_chunk(claimed.unwrap(), holder).unwrap()
 
 
 def _apply(
@@ -223,7 +223,7 @@
     if state.status is ChunkStatus.DONE:
         return Success(state)
     if write.ending is Ending.STOP:
-        return Success(stop_chunk(state, holder).unwrap())
+        return Success(close_cancelled_chunk(state, holder).unwrap())
     if write.ending is Ending.RELEASE:
         return Success(release_chunk(state, holder).unwrap())
     return Success(state)
--- a/packages/node/src/carobspool_node/jobs/_entry_jobs.py
+++ b/packages/node/src/carobspool_node/jobs/_entry_jobs.py
@@ -6,11 +6,11 @@
 from collections.abc import Callable
 
 from carobspool_core import (
+    ChunkHolder,
     Clock,
     DesiredState,
     Hint,
     HintKind,
-    Holder,
     Job,
     JobCounts,
     JobStatus,
@@ -61,7 +61,7 @@
         self._forwarder = forwarder
         self._state = state
         self._tell = tell
-        self._holder = Holder(node=identity.node, incarnation=identity.incarnation)
+        self._holder = ChunkHolder(node=identity.node, incarnation=identity.incarnation)
         self._lease: NodeLeaseKeeper | None = None
         self._members: Members = watch_members(
             store,
@@ -91,7 +91,7 @@
         )
 
     @property
-    def holder(self) -> Holder:
+    def holder(self) -> ChunkHolder:
         """This process, as claims name it."""
         return self._holder
 
--- a/packages/node/src/carobspool_node/jobs/_job_changes.py
+++ b/packages/node/src/carobspool_node/jobs/_job_changes.py
@@ -19,8 +19,8 @@
     StoreFault,
     cancel_job,
     invalid_request,
-    job_value,
-    read_job,
+    job_from_json,
+    job_to_json,
     unavailable,
 )
 from carobspool_core import Failure as RequestFailure
@@ -80,7 +80,7 @@
             if changed.failure() is JobRefusal.CANCELLING:
                 return Success(current)
             return Failure(_job_ended(current))
-        written = store.update(f"jobs/{job.id}", job_value(changed.unwrap()), version=version)
+        written = store.update(f"jobs/{job.id}", job_to_json(changed.unwrap()), version=version)
         if isinstance(written, Success):
             hint(changed.unwrap())
             return Success(changed.unwrap())
@@ -96,7 +96,7 @@
     found = store.get(f"jobs/{job_id}")
     if isinstance(found, Failure):
         return found
-    return Success((read_job(found.unwrap().value), found.unwrap().version))
+    return Success((job_from_json(found.unwrap().value), found.unwrap().version))
 
 
 def job_not_found(job_id: str) -> RequestFailure:
--- a/packages/node/src/carobspool_node/jobs/_job_choice.py
+++ b/packages/node/src/carobspool_node/jobs/_job_choice.py
@@ -8,8 +8,8 @@
     Clock,
     DesiredState,
     Dispatcher,
+    DispatchJob,
     Job,
-    JobShare,
     Millis,
     make_dispatcher,
     wall_millis,
@@ -55,7 +55,7 @@
             self._asked_at[job.id] = now
             if job.id not in self._offered:
                 self._offered.add(job.id)
-                self._dispatcher.offer(job.id, 1)
+                self._dispatcher.add_ready_items(job.id, 1)
         if tidy:
             self._tidy(now)
         return _take(self._dispatcher, wanted, self._offered, self._clock) or jobs[0].id
@@ -72,7 +72,7 @@
 def _take(dispatcher: Dispatcher, wanted: set[str], offered: set[str], clock: Clock) -> str | None:
     # An offer of an earlier call may be of a job that has nothing to start any more.
     while True:
-        taken = dispatcher.take(1, clock.now())
+        taken = dispatcher.assign_credits(1, clock.now())
         if not taken:
             return None
         offered.discard(taken[0])
@@ -80,12 +80,12 @@
             return taken[0]
 
 
-def _share(job: Job, state: DesiredState, clock: Clock) -> JobShare:
+def _share(job: Job, state: DesiredState, clock: Clock) -> DispatchJob:
     organisation = state.organisations.get(job.organisation)
-    return JobShare(
+    return DispatchJob(
         id=job.id,
         organisation=job.organisation,
         weight=organisation.weight if organisation is not None else 1.0,
-        due=clock.now() + job.due_at - wall_millis(),
+        due_at=clock.now() + job.due_at - wall_millis(),
         items_left=max(1, job.items - job.counts.completed - job.counts.failed),
     )
--- a/packages/node/src/carobspool_node/jobs/_job_coordinator.py
+++ b/packages/node/src/carobspool_node/jobs/_job_coordinator.py
@@ -11,15 +11,15 @@
 from returns.result import Failure, Result
 
 from carobspool_core import (
+    ChunkHolder,
     Clock,
-    Holder,
     JobCounts,
     JobStatus,
     Millis,
     ObjectStore,
     StoreFailure,
     owner,
-    progress_is_due,
+    should_write_progress,
     wall_millis,
 )
 from carobspool_node.jobs._job_ending import (
@@ -44,7 +44,7 @@
     def __init__(
         self,
         store: ObjectStore,
-        holder: Holder,
+        holder: ChunkHolder,
         clock: Clock,
         members: Members,
         table: JobTable,
@@ -109,7 +109,7 @@
                 ),
             )
             return
-        if progress_is_due(job, counts):
+        if should_write_progress(job, counts):
             self._job_step(work, lambda: write_progress(self._store, job.id, counts))
             return
         if now - work.last_news > self._probe_after:
--- a/packages/node/src/carobspool_node/jobs/_job_ending.py
+++ b/packages/node/src/carobspool_node/jobs/_job_ending.py
@@ -7,8 +7,8 @@
 from returns.result import Failure, Result, Success
 
 from carobspool_core import (
+    ChunkHolder,
     ChunkStatus,
-    Holder,
     Job,
     JobCounts,
     JobRefusal,
@@ -16,9 +16,9 @@
     ObjectStore,
     StoreFailure,
     end_job,
-    job_value,
-    read_job,
-    report_progress,
+    job_from_json,
+    job_to_json,
+    with_counts,
 )
 from carobspool_node.jobs._chunk_store import Standing, read_standing, take_over
 from carobspool_node.jobs._job_intake import open_key
@@ -45,7 +45,7 @@
     store: ObjectStore, job_id: str, counts: JobCounts
 ) -> Result[StoredJob, StoreFailure]:
     """Write the counts of a job that goes on."""
-    return _change_job(store, job_id, lambda job: report_progress(job, counts))
+    return _change_job(store, job_id, lambda job: with_counts(job, counts))
 
 
 def probe_chunks(
@@ -67,9 +67,9 @@
     store: ObjectStore,
     job: Job,
     numbers: Iterable[int],
-    holder: Holder,
+    holder: ChunkHolder,
     *,
-    is_dead: Callable[[Holder], bool],
+    is_dead: Callable[[ChunkHolder], bool],
 ) -> list[tuple[int, JobCounts]]:
     """End the chunks of a cancelled job that no live process holds; return those that are done.
 
@@ -102,11 +102,11 @@
     if isinstance(found, Failure):
         return Failure(found.failure())
     stored = found.unwrap()
-    job = read_job(stored.value)
+    job = job_from_json(stored.value)
     changed = change(job)
     if isinstance(changed, Failure):
         return Success((job, stored.version))
-    written = store.update(stored.key, job_value(changed.unwrap()), version=stored.version)
+    written = store.update(stored.key, job_to_json(changed.unwrap()), version=stored.version)
     if isinstance(written, Failure):
         return Failure(written.failure())
     return Success((changed.unwrap(), written.unwrap().version))
--- a/packages/node/src/carobspool_node/jobs/_job_input.py
+++ b/packages/node/src/carobspool_node/jobs/_job_input.py
@@ -10,13 +10,13 @@
 from returns.result import Failure, Result, Success
 
 from carobspool_core import (
-    IDEMPOTENT_METADATA,
+    IDEMPOTENT_METADATA_KEY,
     BatchItem,
     BatchShaping,
     Json,
-    chunk_bytes,
-    chunk_items,
     invalid_request,
+    max_bytes_per_chunk,
+    max_items_per_chunk,
 )
 from carobspool_core import Failure as RequestFailure
 from carobspool_node.store import pack, unpack
@@ -112,8 +112,8 @@
 
 def cut_chunks(lines: Iterable[bytes], items: int, shaping: BatchShaping) -> Iterator[InputChunk]:
     """Cut the lines of a job of ``items`` items into chunks, in order."""
-    most = chunk_items(shaping, items)
-    limit = int(chunk_bytes(shaping, items) * _PACKED_PER_BYTE)
+    most = max_items_per_chunk(shaping, items)
+    limit = int(max_bytes_per_chunk(shaping, items) * _PACKED_PER_BYTE)
     group: list[bytes] = []
     for line in lines:
         group.append(line)
@@ -139,7 +139,7 @@
     Raises:
         ValueError: If the chunk is damaged.
     """
-    job_idempotent = metadata.get(IDEMPOTENT_METADATA, "true").lower() != "false"
+    job_idempotent = metadata.get(IDEMPOTENT_METADATA_KEY, "true").lower() != "false"
     items = []
     for index, line in enumerate(unpack(packed).split(b"\n")):
         parsed = parse_line(line, endpoint)
--- a/packages/node/src/carobspool_node/jobs/_job_intake.py
+++ b/packages/node/src/carobspool_node/jobs/_job_intake.py
@@ -25,7 +25,7 @@
     StoreFault,
     content_job_id,
     invalid_request,
-    job_value,
+    job_to_json,
     keyed_job_id,
     unavailable,
 )
@@ -187,7 +187,7 @@
     marked = create_immutable(store, open_key(job.id), {})
     if isinstance(marked, Failure):
         return Failure(request_failure(marked.failure()))
-    created = store.create(f"jobs/{job.id}", job_value(job))
+    created = store.create(f"jobs/{job.id}", job_to_json(job))
     if isinstance(created, Success):
         return Success(job)
     if created.failure().fault is StoreFault.UNAVAILABLE:
--- a/packages/node/src/carobspool_node/jobs/_job_results.py
+++ b/packages/node/src/carobspool_node/jobs/_job_results.py
@@ -28,7 +28,7 @@
     StoreFault,
     add_counts,
     broken_upstream,
-    read_chunk,
+    chunk_from_json,
     spans_from_indexes,
 )
 from carobspool_node.errors import ContentUnavailableError
@@ -156,7 +156,7 @@
             if found.failure().fault is StoreFault.NOT_FOUND:
                 continue
             raise ContentUnavailableError(f"chunk {number} of {job.id} cannot be read")
-        results = chunk_results(store, read_chunk(found.unwrap().value))
+        results = chunk_results(store, chunk_from_json(found.unwrap().value))
         if isinstance(results, Failure):
             raise ContentUnavailableError(f"results of chunk {number} of {job.id} cannot be read")
         lines = [each.line + "\n" for each in results.unwrap() if each.failed is failed]
--- a/packages/node/src/carobspool_node/jobs/_job_runner.py
+++ b/packages/node/src/carobspool_node/jobs/_job_runner.py
@@ -13,9 +13,9 @@
 from returns.result import Failure, Result
 
 from carobspool_core import (
+    ChunkHolder,
     ChunkStatus,
     Clock,
-    Holder,
     ItemOutcome,
     Millis,
     ObjectStore,
@@ -54,7 +54,7 @@
     def __init__(
         self,
         store: ObjectStore,
-        holder: Holder,
+        holder: ChunkHolder,
         clock: Clock,
         members: Members,
         ports: RunnerPorts,
@@ -292,7 +292,7 @@
 
 def make_job_runner(
     store: ObjectStore,
-    holder: Holder,
+    holder: ChunkHolder,
     clock: Clock,
     members: Members,
     ports: RunnerPorts,
--- a/packages/node/src/carobspool_node/jobs/_job_table.py
+++ b/packages/node/src/carobspool_node/jobs/_job_table.py
@@ -18,7 +18,7 @@
     StoredObject,
     StoreFailure,
     StoreFault,
-    read_job,
+    job_from_json,
 )
 from carobspool_node.store import WATCH_TIMEOUT, Followed, follow, list_all
 
@@ -161,7 +161,7 @@
 def _read_stored(stored: StoredObject) -> Job | None:
     """Read a job; a damaged one is logged and left out, so that all others still run."""
     try:
-        return read_job(stored.value)
+        return job_from_json(stored.value)
     except (KeyError, TypeError, ValueError) as error:
         logging.error("event=job_unreadable key=%s detail=%r", stored.key, error)
         return None
--- a/packages/node/src/carobspool_node/jobs/_job_work.py
+++ b/packages/node/src/carobspool_node/jobs/_job_work.py
@@ -5,7 +5,7 @@
 from collections import deque
 from collections.abc import Callable, Mapping, Sequence
 
-from carobspool_core import Holder, Job, JobCounts, Millis, add_counts, owner
+from carobspool_core import ChunkHolder, Job, JobCounts, Millis, add_counts, owner
 
 
 class JobWork:
@@ -30,7 +30,7 @@
         self._done: dict[int, JobCounts] = {}
         self._finished_here: dict[int, JobCounts] = {}
         self._taken: set[int] = set()
-        self._held: dict[int, Holder] = {}
+        self._held: dict[int, ChunkHolder] = {}
         self._cursor = 0
         self._sweep: deque[int] = deque()
 
@@ -77,7 +77,7 @@
         """Take in that this process does not hold a chunk any more."""
         self._taken.discard(number)
 
-    def mark_held(self, number: int, holder: Holder) -> None:
+    def mark_held(self, number: int, holder: ChunkHolder) -> None:
         """Take in that another process holds a chunk."""
         self._taken.discard(number)
         self._held[number] = holder
@@ -87,7 +87,7 @@
         self._cursor = 0
 
     def next_candidate(
-        self, node: str, live: Sequence[str], is_dead: Callable[[Holder], bool]
+        self, node: str, live: Sequence[str], is_dead: Callable[[ChunkHolder], bool]
     ) -> int | None:
         """Return the next chunk that this node should claim, ``None`` if there is none."""
         while self._cursor < len(self.job.chunk_sizes):
--- a/packages/node/src/carobspool_node/jobs/_job_works.py
+++ b/packages/node/src/carobspool_node/jobs/_job_works.py
@@ -5,7 +5,7 @@
 from collections import deque
 from collections.abc import Callable, Iterable, Mapping
 
-from carobspool_core import Clock, Holder, Job, JobCounts, Millis, owner
+from carobspool_core import ChunkHolder, Clock, Job, JobCounts, Millis, owner
 from carobspool_node.jobs._job_work import JobWork
 from carobspool_node.jobs._runner_ports import ChunkDone
 
@@ -23,7 +23,7 @@
     """
 
     def __init__(
-        self, holder: Holder, clock: Clock, tell_done: Callable[[str, ChunkDone], None]
+        self, holder: ChunkHolder, clock: Clock, tell_done: Callable[[str, ChunkDone], None]
     ) -> None:
         self._holder = holder
         self._clock = clock
--- a/packages/node/src/carobspool_node/jobs/_jobs_api.py
+++ b/packages/node/src/carobspool_node/jobs/_jobs_api.py
@@ -14,8 +14,8 @@
     Json,
     ObjectStore,
     invalid_request,
+    job_from_json,
     organisation_digest,
-    read_job,
     wall_millis,
 )
 from carobspool_core import Failure as RequestFailure
@@ -189,7 +189,7 @@
         for found in iterate_objects(self._store, prefix):
             if isinstance(found, Failure):
                 return Failure(request_failure(found.failure()))
-            job = read_job(found.unwrap().value)
+            job = job_from_json(found.unwrap().value)
             if job.organisation == organisation:
                 jobs.append(job)
         jobs.sort(key=lambda job: (job.created_at, job.id), reverse=True)
--- a/packages/node/src/carobspool_node/jobs/_owned_chunk.py
+++ b/packages/node/src/carobspool_node/jobs/_owned_chunk.py
@@ -12,16 +12,16 @@
 
 from carobspool_core import (
     BatchItem,
+    ChunkHolder,
     ChunkStatus,
-    Holder,
     ItemOutcome,
     Millis,
     count_indexes,
-    finished,
+    finished_items,
     item_retry,
     iterate_indexes,
     spans_from_indexes,
-    unfinished,
+    unfinished_items,
 )
 from carobspool_node.jobs._chunk_store import ChunkWrite, Ending, Standing
 from carobspool_node.jobs._job_results import ItemResult, abandoned_result, item_result
@@ -170,7 +170,7 @@
         self._writing = self._wanted_write(now, may_declare=may_declare)
         return self._writing
 
-    def wrote(self, standing: Standing, holder: Holder, now: Millis) -> bool:
+    def wrote(self, standing: Standing, holder: ChunkHolder, now: Millis) -> bool:
         """Take in how the chunk stands after a write; ``False`` if it is no longer held."""
         self._writing = None
         self._written_at = now
@@ -181,7 +181,7 @@
         self._writing = None
         self._retry_at = now + WRITE_PAUSE
 
-    def adopt(self, standing: Standing, holder: Holder) -> bool:
+    def adopt(self, standing: Standing, holder: ChunkHolder) -> bool:
         """Take in the stored state; ``False`` if the chunk is no longer held."""
         if standing.version < self._standing.version:
             return True
@@ -189,7 +189,7 @@
         state = standing.state
         if state.holder != holder or state.status is not ChunkStatus.CLAIMED:
             return False
-        for index in iterate_indexes(finished(state)):
+        for index in iterate_indexes(finished_items(state)):
             self._results.pop(index, None)
         declared = set(iterate_indexes(state.intents))
         self._ready.extend(index for index in self._undeclared if index in declared)
@@ -203,7 +203,7 @@
         send a second letter to the same poet.
         """
         abandoned = set(iterate_indexes(self._standing.state.abandoned))
-        for index in iterate_indexes(unfinished(self._standing.state)):
+        for index in iterate_indexes(unfinished_items(self._standing.state)):
             if index in abandoned:
                 self._results[index] = abandoned_result(self._items[index])
                 continue
@@ -237,7 +237,7 @@
         failure; writing often costs the store, for every chunk of the fleet at once. Results of
         non-idempotent items cannot be made again and are written within a second.
         """
-        left = self._standing.state.items - count_indexes(finished(self._standing.state))
+        left = self._standing.state.items - count_indexes(finished_items(self._standing.state))
         if len(self._results) == left:
             return True
         waited = now - self._written_at
--- a/packages/node/src/carobspool_node/links/_members.py
+++ b/packages/node/src/carobspool_node/links/_members.py
@@ -9,8 +9,8 @@
 from returns.result import Failure, Success
 
 from carobspool_core import (
+    ChunkHolder,
     Clock,
-    Holder,
     LeaseObserver,
     Millis,
     ObjectChange,
@@ -65,12 +65,12 @@
             live = self._observer.live()
             return {node: self._addresses[node] for node in live if node in self._addresses}
 
-    def is_dead(self, holder: Holder) -> bool:
+    def is_dead(self, holder: ChunkHolder) -> bool:
         """Tell whether a holder's lease has expired, or is another process's."""
         with self._lock:
             return self._observer.expired(holder.node, holder.incarnation)
 
-    def confirm_dead(self, holder: Holder) -> bool:
+    def confirm_dead(self, holder: ChunkHolder) -> bool:
         """Read the lease once more before a claim is taken over.
 
         The watch lags, so a process that has just started, or just renewed, may look dead. Taking
--- a/packages/node/src/carobspool_node/links/_node_lease.py
+++ b/packages/node/src/carobspool_node/links/_node_lease.py
@@ -11,8 +11,8 @@
 from carobspool_core import (
     LEASE_TTL,
     RENEWALS_PER_TTL,
+    ChunkHolder,
     Clock,
-    Holder,
     Json,
     Millis,
     ObjectStore,
@@ -26,7 +26,7 @@
 class NodeIdentity:
     """What a node says of itself in its lease."""
 
-    holder: Holder
+    holder: ChunkHolder
     address: str
     failure_domain: str
 
--- a/packages/node/src/carobspool_node/store/_reservations.py
+++ b/packages/node/src/carobspool_node/store/_reservations.py
@@ -14,8 +14,8 @@
 from returns.result import Failure, Result, Success
 
 from carobspool_core import (
+    ChunkHolder,
     Clock,
-    Holder,
     Json,
     Millis,
     ObjectStore,
@@ -46,9 +46,9 @@
     def __init__(
         self,
         store: ObjectStore,
-        holder: Holder,
+        holder: ChunkHolder,
         clock: Clock,
-        is_dead: Callable[[Holder], bool],
+        is_dead: Callable[[ChunkHolder], bool],
     ) -> None:
         self._store = store
         self._holder = holder
@@ -126,7 +126,7 @@
             return Success(read_answer(value["answer"]))
         if state is ReservationState.UNKNOWN:
             return Failure(outcome_unknown())
-        holder = Holder(**value["holder"])
+        holder = ChunkHolder(**value["holder"])
         if holder == self._holder:
             return self._own(key, value, version, token, digest)
         if not self._is_dead(holder):
@@ -237,7 +237,7 @@
 
 
 def make_reservations(
-    store: ObjectStore, holder: Holder, clock: Clock, *, is_dead: Callable[[Holder], bool]
+    store: ObjectStore, holder: ChunkHolder, clock: Clock, *, is_dead: Callable[[ChunkHolder], bool]
 ) -> Reservations:
     """Return the reservations of one process.
 
--- a/packages/node/tests/_job_fleet.py
+++ b/packages/node/tests/_job_fleet.py
@@ -18,14 +18,14 @@
 from carobspool_core import (
     BatchItem,
     BatchShaping,
-    Holder,
+    ChunkHolder,
     ItemOutcome,
     Job,
+    chunk_from_json,
     count_indexes,
-    finished,
+    finished_items,
+    job_from_json,
     monotonic_clock,
-    read_chunk,
-    read_job,
 )
 from carobspool_node.jobs._files import create_file
 from carobspool_node.jobs._job_intake import Submission, submit
@@ -107,7 +107,7 @@
         self.awake.set()
         self.asleep = threading.Event()
         clock = monotonic_clock()
-        holder = Holder(node=name, incarnation=f"{name}-{time.monotonic_ns()}")
+        holder = ChunkHolder(node=name, incarnation=f"{name}-{time.monotonic_ns()}")
         identity = NodeIdentity(holder=holder, address="", failure_domain="leicester-hall")
         self.lease = keep_node_lease(self.store, identity, clock, ttl=TTL)
         self.members = watch_members(self.store, clock, ttl=TTL, watch_timeout=50.0)
@@ -205,14 +205,14 @@
         ).unwrap()
 
     def job(self, job_id: str) -> Job:
-        return read_job(self.objects.value(f"jobs/{job_id}"))
+        return job_from_json(self.objects.value(f"jobs/{job_id}"))
 
     def wait_for_end(self, job: Job, seconds: float = 20.0) -> Job:
         until(lambda: self.job(job.id).ended, seconds)
         return self.job(job.id)
 
     def holders(self) -> set[str]:
-        found = {key: read_chunk(json.loads(text)) for key, (_, text) in self._chunks()}
+        found = {key: chunk_from_json(json.loads(text)) for key, (_, text) in self._chunks()}
         return {state.holder.node for state in found.values()}
 
     def results(self, job: Job) -> dict[str, dict[str, object]]:
@@ -232,14 +232,14 @@
         for record in self.objects.history:
             if not record.key.startswith("chunks/"):
                 continue
-            state = read_chunk(record.value)
+            state = chunk_from_json(record.value)
             before = last.get(record.key)
             if before is not None:
-                earlier = read_chunk(before)
+                earlier = chunk_from_json(before)
                 assert state.parts[: len(earlier.parts)] == earlier.parts
                 assert earlier.status.value != "done", "a finished chunk was written again"
             spans = sum(count_indexes(part.spans) for part in state.parts)
-            assert spans == count_indexes(finished(state)), "an item has two results"
+            assert spans == count_indexes(finished_items(state)), "an item has two results"
             last[record.key] = record.value
 
     def stop(self) -> None:
--- a/packages/node/tests/test_job_intake.py
+++ b/packages/node/tests/test_job_intake.py
@@ -13,7 +13,7 @@
 from openai.types import Batch, FileObject
 from returns.result import Failure, Result, Success
 
-from carobspool_core import BatchShaping, Job, Json, ObjectStore, read_job
+from carobspool_core import BatchShaping, Job, Json, ObjectStore, job_from_json
 from carobspool_core import Failure as RequestFailure
 from carobspool_node.jobs._files import create_file, file_content, get_file
 from carobspool_node.jobs._job_input import cut_chunks, input_lines, parse_line, read_items
@@ -193,11 +193,11 @@
     file = _file(store, *map(_line, range(25)))
     first = _submit(store, file, key="k")
     if isinstance(first, Success):
-        assert read_job(objects.value(f"jobs/{first.unwrap().id}")) == first.unwrap()
+        assert job_from_json(objects.value(f"jobs/{first.unwrap().id}")) == first.unwrap()
     else:
         assert first.failure().status == 503
     again = _submit(store, file, key="k").unwrap()
-    assert read_job(objects.value(f"jobs/{again.id}")) == again
+    assert job_from_json(objects.value(f"jobs/{again.id}")) == again
     assert sum(again.chunk_sizes) == 25
 
 
--- a/packages/node/tests/test_job_runner.py
+++ b/packages/node/tests/test_job_runner.py
@@ -15,8 +15,8 @@
     JobStatus,
     Outcome,
     broken_upstream,
+    chunk_from_json,
     keyed_job_id,
-    read_chunk,
     unavailable,
 )
 from carobspool_node.jobs._job_changes import cancel
@@ -102,7 +102,7 @@
     fleet.check_history()
     results = fleet.results(job)
     assert len(results) == ended.counts.completed + ended.counts.failed
-    states = [read_chunk(json.loads(text)) for _, (_, text) in fleet._chunks()]
+    states = [chunk_from_json(json.loads(text)) for _, (_, text) in fleet._chunks()]
     assert [state.status.value for state in states] == ["done"] * len(job.chunk_sizes)
 
 
--- a/packages/node/tests/test_reservations.py
+++ b/packages/node/tests/test_reservations.py
@@ -8,8 +8,8 @@
 import pytest
 from returns.result import Failure, Result, Success
 
+from carobspool_core import ChunkHolder, ManualClock, Outcome
 from carobspool_core import Failure as RequestFailure
-from carobspool_core import Holder, ManualClock, Outcome
 from carobspool_node.store._reservation_objects import Reservation, StoredAnswer
 from carobspool_node.store._reservations import Reservations, make_reservations
 from carobspool_standins.memory_store import FaultKind, FaultRule, MemoryObjects, MemoryStore
@@ -29,7 +29,7 @@
     def make(self, name: str) -> Reservations:
         self.stores[name] = MemoryStore(self.objects, name)
         self.clocks[name] = ManualClock()
-        holder = Holder(node=name, incarnation=f"{name}-1")
+        holder = ChunkHolder(node=name, incarnation=f"{name}-1")
         return make_reservations(
             self.stores[name],
             holder,
--- a/tools/cost_jobs.py
+++ b/tools/cost_jobs.py
@@ -21,11 +21,11 @@
 from carobspool_core import (
     BatchItem,
     BatchShaping,
-    Holder,
+    ChunkHolder,
     ItemOutcome,
     Job,
+    job_from_json,
     monotonic_clock,
-    read_job,
 )
 from carobspool_node.jobs import (
     JobWork,
@@ -93,7 +93,7 @@
     objects = MemoryObjects()
     store = MemoryStore(objects, "a")
     clock = monotonic_clock()
-    holder = Holder(node="a", incarnation="a-1")
+    holder = ChunkHolder(node="a", incarnation="a-1")
     identity = NodeIdentity(holder=holder, address="", failure_domain="leicester-hall")
     lease = keep_node_lease(store, identity, clock, ttl=TTL)
     members = watch_members(store, clock, ttl=TTL)
@@ -113,7 +113,7 @@
     lease.start()
     members.start()
     runner.start()
-    while not read_job(objects.value(f"jobs/{job.id}")).ended:
+    while not job_from_json(objects.value(f"jobs/{job.id}")).ended:
         time.sleep(0.01)
     ended = time.perf_counter()
     runner.stop()
--- a/tools/cost_routing.py
+++ b/tools/cost_routing.py
@@ -14,9 +14,9 @@
 
 from carobspool_core import (
     Dispatcher,
+    DispatchJob,
     Hint,
     HintKind,
-    JobShare,
     Load,
     LoadOrder,
     ManualClock,
@@ -122,17 +122,17 @@
 
 
 def _dispatcher(count: int) -> Dispatcher:
-    dispatcher = make_dispatcher(ManualClock(), entries=ENTRIES)
+    dispatcher = make_dispatcher(ManualClock(), entry_count=ENTRIES)
     for n in range(count):
-        share = JobShare(
+        share = DispatchJob(
             id=f"job-{n}",
             organisation=f"org-{n % max(1, count // 3)}",
             weight=1.0 + n % 3,
-            due=3_600_000.0 * (1 + n % 24),
+            due_at=3_600_000.0 * (1 + n % 24),
             items_left=100_000,
         )
         dispatcher.add_job(share)
-        dispatcher.offer(share.id, 100_000)
+        dispatcher.add_ready_items(share.id, 100_000)
     return dispatcher
 
 
@@ -147,13 +147,18 @@
         200 * 32,
         _taker(dispatcher),
     )
-    _cost("offer", f"{count} jobs", 2_000, lambda n: dispatcher.offer(f"job-{n % count}", 256))
+    _cost(
+        "offer",
+        f"{count} jobs",
+        2_000,
+        lambda n: dispatcher.add_ready_items(f"job-{n % count}", 256),
+    )
 
 
 def _taker(dispatcher: Dispatcher) -> Callable[[int], object]:
     def take(n: int) -> None:
         if n % 32 == 0:
-            dispatcher.take(32, n * 2.0)
+            dispatcher.assign_credits(32, n * 2.0)
 
     return take
 
--- a/tools/decisions_trial.py
+++ b/tools/decisions_trial.py
@@ -12,7 +12,7 @@
 from statistics import mean
 
 from carobspool_core import (
-    JobShare,
+    DispatchJob,
     ManualClock,
     Millis,
     VerdictKind,
@@ -54,7 +54,7 @@
         print(f"| {name} | {mean(_crashes(isolate, seed) for seed in seeds):.1f} |", flush=True)
 
 
-def _jobs(rng: Random) -> list[JobShare]:
+def _jobs(rng: Random) -> list[DispatchJob]:
     """Ten jobs of 560,000 items, 40 of about 20, 10 of 5,000 that are due in ten minutes."""
     jobs = [_job(f"a-large-{n}", "large", 560_000) for n in range(10)]
     for n in range(40):
@@ -64,20 +64,20 @@
     return jobs
 
 
-def _job(id: str, organisation: str, items: int, due: Millis = FAR) -> JobShare:
-    return JobShare(id=id, organisation=organisation, weight=1.0, due=due, items_left=items)
+def _job(id: str, organisation: str, items: int, due: Millis = FAR) -> DispatchJob:
+    return DispatchJob(id=id, organisation=organisation, weight=1.0, due_at=due, items_left=items)
 
 
-def _dispatcher(jobs: list[JobShare], *, urgency: bool = True) -> Take:
+def _dispatcher(jobs: list[DispatchJob], *, urgency: bool = True) -> Take:
     dispatcher = make_dispatcher(ManualClock())
     for job in jobs:
-        due = job.due if urgency else FAR
+        due = job.due_at if urgency else FAR
         dispatcher.add_job(_job(job.id, job.organisation, job.items_left, due))
-        dispatcher.offer(job.id, job.items_left)
-    return dispatcher.take
+        dispatcher.add_ready_items(job.id, job.items_left)
+    return dispatcher.assign_credits
 
 
-def _in_order(jobs: list[JobShare]) -> Take:
+def _in_order(jobs: list[DispatchJob]) -> Take:
     waiting = [[job.id, job.items_left] for job in jobs]
 
     def take(credits: int, now: Millis) -> list[str]:
@@ -94,11 +94,11 @@
     return take
 
 
-def _earliest_due(jobs: list[JobShare]) -> Take:
-    return _in_order(sorted(jobs, key=lambda job: job.due))
+def _earliest_due(jobs: list[DispatchJob]) -> Take:
+    return _in_order(sorted(jobs, key=lambda job: job.due_at))
 
 
-DISPATCHES: dict[str, Callable[[list[JobShare]], Take]] = {
+DISPATCHES: dict[str, Callable[[list[DispatchJob]], Take]] = {
     "weighted, urgent first": _dispatcher,
     "weighted alone": lambda jobs: _dispatcher(jobs, urgency=False),
     "order of arrival": _in_order,
@@ -106,7 +106,9 @@
 }
 
 
-def _run_dispatch(make: Callable[[list[JobShare]], Take], seed: int) -> tuple[float, float, float]:
+def _run_dispatch(
+    make: Callable[[list[DispatchJob]], Take], seed: int
+) -> tuple[float, float, float]:
     rng = Random(seed)
     jobs = _jobs(rng)
     left = {job.id: job.items_left for job in jobs}
@@ -123,7 +125,7 @@
     horizon = 900_000.0
     small = [ended.get(job.id, horizon) / 1000.0 for job in jobs if job.id.startswith("small")]
     due = [job for job in jobs if job.id.startswith("due")]
-    late = sum(ended.get(job.id, horizon) > job.due for job in due)
+    late = sum(ended.get(job.id, horizon) > job.due_at for job in due)
     large = sum(count for id, count in served.items() if id.startswith("a-large"))
     return mean(small), float(late), large / served.total()
 
