--- a/packages/core/src/carobspool_core/_leases.py
+++ b/packages/core/src/carobspool_core/_leases.py
@@ -41,18 +41,18 @@
 
     Args:
         ttl: Time to live, in milliseconds.
-        longest_step: Longest time that one successful read may add, in milliseconds. An observer
-            that was itself paused reads stale responses from its buffers; without the limit its
-            first read after the pause would expire every lease at once.
+        max_read_interval: Longest time that one successful read may add, in milliseconds. An
+            observer that was itself paused reads stale responses from its buffers; without the
+            limit its first read after the pause would expire every lease at once.
     """
 
-    def __init__(self, *, ttl: Millis, longest_step: Millis) -> None:
+    def __init__(self, *, ttl: Millis, max_read_interval: Millis) -> None:
         self._ttl = ttl
-        self._longest_step = longest_step
+        self._max_read_interval = max_read_interval
         self._leases: dict[str, NodeLease] = {}
         self._last_read: Millis | None = None
 
-    def seen(self, *, node: str, incarnation: str, version: int, leaving: bool) -> None:
+    def record_lease(self, *, node: str, incarnation: str, version: int, leaving: bool) -> None:
         """Record a lease that was read or watched; versions that are not newer are ignored."""
         known = self._leases.get(node)
         if known is not None and version <= known.version:
@@ -61,25 +61,25 @@
             node=node, incarnation=incarnation, version=version, leaving=leaving
         )
 
-    def gone(self, node: str) -> None:
+    def record_deletion(self, node: str) -> None:
         """Record that the lease object was deleted, which means that its holder released it."""
         self._leases.pop(node, None)
 
-    def read_succeeded(self, now: Millis) -> None:
+    def record_successful_read(self, now: Millis) -> None:
         """Add the time since the previous successful read, up to the limit, to each lease."""
         last = self._last_read
         self._last_read = now
         if last is None:
             return
-        step = min(now - last, self._longest_step)
+        step = min(now - last, self._max_read_interval)
         for node, lease in self._leases.items():
             self._leases[node] = replace(lease, unchanged_time=lease.unchanged_time + step)
 
-    def read_failed(self) -> None:
+    def record_failed_read(self) -> None:
         """Stop counting time until two successive reads have succeeded."""
         self._last_read = None
 
-    def expired(self, node: str, incarnation: str) -> bool:
+    def is_presumed_dead(self, node: str, incarnation: str) -> bool:
         """Return whether a process is presumed dead.
 
         A process is also presumed dead when another incarnation, or no process, holds its node's
@@ -90,7 +90,7 @@
             return self._last_read is not None
         return lease.unchanged_time >= self._ttl
 
-    def live(self) -> tuple[str, ...]:
+    def available_nodes(self) -> tuple[str, ...]:
         """Return the nodes that accept new work, sorted by name."""
         nodes = [
             lease.node
@@ -99,7 +99,7 @@
         ]
         return tuple(sorted(nodes))
 
-    def holding(self) -> tuple[str, ...]:
+    def lease_holders(self) -> tuple[str, ...]:
         """Return the nodes with unexpired leases, including those that are leaving."""
         return tuple(
             sorted(
@@ -107,7 +107,7 @@
             )
         )
 
-    def longest_expired(self, factor: float) -> tuple[NodeLease, ...]:
+    def leases_unchanged_for(self, factor: float) -> tuple[NodeLease, ...]:
         """Return the leases that have not changed for ``factor`` times the time to live."""
         limit = self._ttl * factor
         return tuple(lease for lease in self._leases.values() if lease.unchanged_time >= limit)
--- a/packages/node/src/carobspool_node/jobs/_entry_jobs.py
+++ b/packages/node/src/carobspool_node/jobs/_entry_jobs.py
@@ -145,7 +145,7 @@
 
     def live_entries(self) -> list[str]:
         """Return the names of the entries that take work."""
-        return list(self._members.live())
+        return list(self._members.available_nodes())
 
     def take_hint(self, hint: Hint) -> None:
         """Take another entry's news of a job."""
--- a/packages/node/src/carobspool_node/jobs/_job_runner.py
+++ b/packages/node/src/carobspool_node/jobs/_job_runner.py
@@ -177,7 +177,10 @@
         """Bring the known jobs up to date; stop what belongs to ended or cancelled ones."""
         jobs = {job.id: job for job in self._table.open_jobs()}
         self._works.update(
-            jobs.values(), self._members.live(), holding=self._members.holding(), now=now
+            jobs.values(),
+            self._members.available_nodes(),
+            lease_holders=self._members.lease_holders(),
+            now=now,
         )
         self._owned.stop_ended(jobs)
 
--- a/packages/node/src/carobspool_node/jobs/_job_works.py
+++ b/packages/node/src/carobspool_node/jobs/_job_works.py
@@ -30,7 +30,7 @@
         self._tell_done = tell_done
         self._works: dict[str, JobWork] = {}
         self._live: tuple[str, ...] = ()
-        self._holding: tuple[str, ...] = ()
+        self._lease_holders: tuple[str, ...] = ()
         self._looked_at: Millis = clock.now()
         self._early: deque[ChunkDone] = deque(maxlen=MAX_EARLY)
 
@@ -49,7 +49,7 @@
         jobs: Iterable[Job],
         live: tuple[str, ...],
         *,
-        holding: tuple[str, ...],
+        lease_holders: tuple[str, ...],
         now: Millis,
     ) -> None:
         """Bring works and live entries up to date.
@@ -61,7 +61,7 @@
         Args:
             jobs: The open jobs.
             live: Names of the live entries.
-            holding: Names of the entries that may hold claims, leaving ones included.
+            lease_holders: Names of the entries that may hold claims, leaving ones included.
             now: The clock's instant in milliseconds.
         """
         open_jobs = {job.id: job for job in jobs}
@@ -74,10 +74,10 @@
             del self._works[job_id]
         if live != self._live:
             self._tell_new_coordinators(live)
-        elif holding == self._holding and now - self._looked_at < LOOK_AGAIN_INTERVAL:
+        elif lease_holders == self._lease_holders and now - self._looked_at < LOOK_AGAIN_INTERVAL:
             return
         self._live = live
-        self._holding = holding
+        self._lease_holders = lease_holders
         self._looked_at = now
         for work in self._works.values():
             work.look_again()
--- a/packages/node/src/carobspool_node/links/_members.py
+++ b/packages/node/src/carobspool_node/links/_members.py
@@ -35,7 +35,7 @@
         self._clock = clock
         self._watch_timeout = watch_timeout
         self._lock = threading.Lock()
-        self._observer = LeaseObserver(ttl=ttl, longest_step=watch_timeout + STEP_SLACK)
+        self._observer = LeaseObserver(ttl=ttl, max_read_interval=watch_timeout + STEP_SLACK)
         self._stopping = threading.Event()
         self._thread = threading.Thread(target=self._run, name="members", daemon=True)
         self._known: set[str] = set()
@@ -49,26 +49,26 @@
         """Stop to follow; the thread ends within one watch."""
         self._stopping.set()
 
-    def live(self) -> tuple[str, ...]:
+    def available_nodes(self) -> tuple[str, ...]:
         """Return the names of the nodes that take work, in order."""
         with self._lock:
-            return self._observer.live()
+            return self._observer.available_nodes()
 
-    def holding(self) -> tuple[str, ...]:
+    def lease_holders(self) -> tuple[str, ...]:
         """Return the names of the nodes that may hold claims, leaving ones included, in order."""
         with self._lock:
-            return self._observer.holding()
+            return self._observer.lease_holders()
 
     def addresses(self) -> dict[str, str]:
         """Return the address of each live node by its name."""
         with self._lock:
-            live = self._observer.live()
+            live = self._observer.available_nodes()
             return {node: self._addresses[node] for node in live if node in self._addresses}
 
     def is_dead(self, holder: ChunkHolder) -> bool:
         """Tell whether a holder's lease has expired, or is another process's."""
         with self._lock:
-            return self._observer.expired(holder.node, holder.incarnation)
+            return self._observer.is_presumed_dead(holder.node, holder.incarnation)
 
     def confirm_dead(self, holder: ChunkHolder) -> bool:
         """Read the lease once more before a claim is taken over.
@@ -83,7 +83,7 @@
             return found.failure().fault is StoreFault.NOT_FOUND
         with self._lock:
             self._see(found.unwrap())
-            return self._observer.expired(holder.node, holder.incarnation)
+            return self._observer.is_presumed_dead(holder.node, holder.incarnation)
 
     def _run(self) -> None:
         followed = Followed(
@@ -108,14 +108,14 @@
                 self._see(stored)
                 present.add(stored.key)
             for key in self._known - present:
-                self._observer.gone(key.removeprefix(PREFIX))
+                self._observer.record_deletion(key.removeprefix(PREFIX))
             self._known = present
 
     def _changed(self, changes: Iterable[ObjectChange]) -> None:
         with self._lock:
             for change in changes:
                 if change.deleted:
-                    self._observer.gone(change.object.key.removeprefix(PREFIX))
+                    self._observer.record_deletion(change.object.key.removeprefix(PREFIX))
                     self._known.discard(change.object.key)
                     continue
                 self._see(change.object)
@@ -132,23 +132,23 @@
             logging.error("event=lease_unreadable node=%s detail=%r", node, error)
             return
         self._addresses[node] = address
-        self._observer.seen(
+        self._observer.record_lease(
             node=node, incarnation=incarnation, version=stored.version, leaving=leaving
         )
 
     def _answered(self) -> None:
         with self._lock:
-            self._observer.read_succeeded(self._clock.now())
-            forgotten = self._observer.longest_expired(FORGET_FACTOR)
+            self._observer.record_successful_read(self._clock.now())
+            forgotten = self._observer.leases_unchanged_for(FORGET_FACTOR)
         for lease in forgotten:
             deleted = self._store.delete(PREFIX + lease.node, version=lease.version)
             if isinstance(deleted, Success):
                 with self._lock:
-                    self._observer.gone(lease.node)
+                    self._observer.record_deletion(lease.node)
 
     def _failed(self) -> None:
         with self._lock:
-            self._observer.read_failed()
+            self._observer.record_failed_read()
 
 
 def watch_members(
--- a/packages/node/tests/_job_fleet.py
+++ b/packages/node/tests/_job_fleet.py
@@ -175,7 +175,9 @@
     def start(self, *names: str) -> None:
         for name in names:
             self.nodes[name] = Node(self, name)
-        until(lambda: all(len(node.members.live()) >= len(names) for node in self._alive()))
+        until(
+            lambda: all(len(node.members.available_nodes()) >= len(names) for node in self._alive())
+        )
 
     def tell_done(self, node: str, done: ChunkDone) -> None:
         if not self.lose_hints and node in self.nodes:
--- a/packages/node/tests/test_job_runner.py
+++ b/packages/node/tests/test_job_runner.py
@@ -53,7 +53,7 @@
     job = fleet.submit(200)
     until(lambda: len(fleet.holders()) == 2)
     leaving.lease.leave()
-    until(lambda: fleet.nodes["a"].members.live() == ("a",))
+    until(lambda: fleet.nodes["a"].members.available_nodes() == ("a",))
     assert leaving.runner.release_all(5_000.0) == 0
     leaving.lease.give_up()
     assert fleet.wait_for_end(job, 3.0).status is JobStatus.COMPLETED
--- a/packages/node/tests/test_job_runner_faults.py
+++ b/packages/node/tests/test_job_runner_faults.py
@@ -39,7 +39,7 @@
     job = fleet.submit(160)
     until(lambda: len(fleet.holders()) == 2)
     fleet.nodes["b"].freeze()
-    until(lambda: fleet.nodes["a"].members.live() == ("a",))
+    until(lambda: fleet.nodes["a"].members.available_nodes() == ("a",))
     time.sleep(1.2)
     fleet.nodes["b"].thaw()
     assert fleet.wait_for_end(job).status is JobStatus.COMPLETED
