--- a/packages/core/src/carobspool_core/__init__.pyi
+++ b/packages/core/src/carobspool_core/__init__.pyi
@@ -81,8 +81,8 @@
     SidecarState,
 )
 from ._model_fleet import LoadOrder, LoadOrderKind, ModelVersion, UpstreamModels, WeightStoreLimits
-from ._modelloads import blocked_model_loads, plan_model_loads
-from ._order_epochs import EpochError, EpochRecord, epoch_from_json, epoch_to_json, take_over_wait
+from ._model_loads import blocked_model_loads, plan_model_loads
+from ._order_epochs import EpochError, EpochRecord, epoch_from_json, epoch_to_json, takeover_delay
 from ._outcome import Failure, Outcome, broken_upstream, invalid_request, rate_limited, unavailable
 from ._ports import (
     Json,
@@ -96,16 +96,16 @@
 )
 from ._reconcile import (
     DeclaredEngine,
-    EngineOrders,
+    EngineControl,
+    EngineOrder,
+    EngineOrderKind,
     EngineState,
     Fence,
-    Order,
     OrderFailure,
     OrderFault,
-    OrderKind,
     RunningModel,
     declared_engine,
-    differences,
+    describe_differences,
     next_order,
 )
 from ._rendezvous import first, owner, rank
@@ -169,7 +169,9 @@
     "DispatchJob",
     "Dispatcher",
     "End",
-    "EngineOrders",
+    "EngineControl",
+    "EngineOrder",
+    "EngineOrderKind",
     "EngineState",
     "EpochError",
     "EpochRecord",
@@ -212,10 +214,8 @@
     "ObjectStore",
     "OnlineSlowdown",
     "Open",
-    "Order",
     "OrderFailure",
     "OrderFault",
-    "OrderKind",
     "Organisation",
     "Outcome",
     "PREEMPTED",
@@ -270,7 +270,7 @@
     "count_indexes",
     "declare_intents",
     "declared_engine",
-    "differences",
+    "describe_differences",
     "end_job",
     "epoch_from_json",
     "epoch_to_json",
@@ -312,7 +312,7 @@
     "spans_overlap",
     "subset_size",
     "subtract_spans",
-    "take_over_wait",
+    "takeover_delay",
     "unavailable",
     "unfinished_items",
     "union_spans",
--- a/packages/core/src/carobspool_core/_model_fleet.py
+++ b/packages/core/src/carobspool_core/_model_fleet.py
@@ -34,7 +34,7 @@
         declared: Models that should be ready.
         ready: Models that are ready.
         loading: Models that are being loaded.
-        room: Number of models that fit into its memory at once.
+        max_models: Number of models that fit into its memory at once.
         reachable: Whether the upstream accepts orders now and its ready models serve callers.
     """
 
@@ -43,7 +43,7 @@
     declared: frozenset[ModelVersion]
     ready: frozenset[ModelVersion] = frozenset()
     loading: frozenset[ModelVersion] = frozenset()
-    room: int = 1
+    max_models: int = 1
     reachable: bool = True
 
 
@@ -53,14 +53,14 @@
 
     Attributes:
         bytes_per_second: Bandwidth shared by all loads.
-        concurrent: Largest number of loads at once.
+        max_concurrent_loads: Largest number of loads at once.
         max_load_time: Time within which a load should finish; fewer loads run at once if they would
             take longer with shared bandwidth. The default fits the time limit of an order, ten
             minutes.
     """
 
     bytes_per_second: float
-    concurrent: int = 4
+    max_concurrent_loads: int = 4
     max_load_time: Millis = 600_000.0
 
 
--- a/packages/core/src/carobspool_core/_modelloads.py
+++ b/packages/core/src/carobspool_core/_model_loads.py
@@ -189,7 +189,7 @@
     """Return whether the weight store can serve these loads at once; a single load always fits."""
     if len(sizes) == 1:
         return True
-    if len(sizes) > limits.concurrent:
+    if len(sizes) > limits.max_concurrent_loads:
         return False
     return sum(sizes) / limits.bytes_per_second * 1000.0 <= limits.max_load_time
 
@@ -208,7 +208,7 @@
 
 
 def _has_room(upstream: UpstreamModels) -> bool:
-    return len(upstream.ready) + len(upstream.loading) < upstream.room
+    return len(upstream.ready) + len(upstream.loading) < upstream.max_models
 
 
 def _order(upstream: UpstreamModels, kind: LoadOrderKind, version: ModelVersion) -> LoadOrder:
--- a/packages/core/src/carobspool_core/_order_epochs.py
+++ b/packages/core/src/carobspool_core/_order_epochs.py
@@ -89,7 +89,7 @@
     )
 
 
-def take_over_wait(previous: EpochRecord | None) -> Millis:
+def takeover_delay(previous: EpochRecord | None) -> Millis:
     """Return how long a new holder waits before it sends orders to an engine without fencing.
 
     Args:
--- a/packages/core/src/carobspool_core/_reconcile.py
+++ b/packages/core/src/carobspool_core/_reconcile.py
@@ -18,7 +18,7 @@
 from carobspool_core._config import DesiredState, Model, UpstreamKind
 
 
-class OrderKind(StrEnum):
+class EngineOrderKind(StrEnum):
     """What an order makes the engine do."""
 
     LOAD = "load"
@@ -28,13 +28,13 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Order:
+class EngineOrder:
     """One order to an engine; fields that the kind of order does not use are ``None``.
 
     Since 0.1.
     """
 
-    kind: OrderKind
+    kind: EngineOrderKind
     model: str | None = None
     version: str | None = None
     adapter: str | None = None
@@ -114,13 +114,15 @@
     fence: Fence | None = None
 
 
-class EngineOrders(Protocol):
+class EngineControl(Protocol):
     """Port to an engine; adapters return the engine's faults as failures instead of raising."""
 
-    def state(self) -> Result[EngineState, OrderFailure]:
+    def read_state(self) -> Result[EngineState, OrderFailure]:
         """Read the engine's models, role and highest fencing token."""
 
-    def order(self, order: Order, fence: Fence, *, timeout: Millis) -> Result[None, OrderFailure]:
+    def send_order(
+        self, order: EngineOrder, fence: Fence, *, timeout: Millis
+    ) -> Result[None, OrderFailure]:
         """Send one order and wait at most ``timeout`` milliseconds until it is carried out."""
 
 
@@ -140,7 +142,7 @@
     return DeclaredEngine(models=models, role=upstream.role, checks_fencing=upstream.checks_fencing)
 
 
-def next_order(declared: DeclaredEngine, actual: EngineState) -> Order | None:
+def next_order(declared: DeclaredEngine, actual: EngineState) -> EngineOrder | None:
     """Return the next order, or ``None`` when no order is needed now.
 
     Unloads come first, since they free the memory that a load needs. No order removes a single
@@ -156,7 +158,7 @@
     )
 
 
-def differences(declared: DeclaredEngine, actual: EngineState) -> tuple[str, ...]:
+def describe_differences(declared: DeclaredEngine, actual: EngineState) -> tuple[str, ...]:
     """Describe each difference for operators; empty when the engine runs what is declared.
 
     Since 0.1.
@@ -188,24 +190,24 @@
     return found
 
 
-def _next_unload(declared: DeclaredEngine, actual: EngineState) -> Order | None:
+def _next_unload(declared: DeclaredEngine, actual: EngineState) -> EngineOrder | None:
     for name, running in sorted(actual.models.items()):
         model = declared.models.get(name)
         if model is None or set(running.adapters) - set(model.adapters):
-            return Order(kind=OrderKind.UNLOAD, model=name, version=running.version)
+            return EngineOrder(kind=EngineOrderKind.UNLOAD, model=name, version=running.version)
     return None
 
 
-def _next_load(declared: DeclaredEngine, actual: EngineState) -> Order | None:
+def _next_load(declared: DeclaredEngine, actual: EngineState) -> EngineOrder | None:
     for name, model in sorted(declared.models.items()):
         running = actual.models.get(name)
         if running is not None and running.version == model.version:
             continue
-        return Order(kind=OrderKind.LOAD, model=name, version=model.version)
+        return EngineOrder(kind=EngineOrderKind.LOAD, model=name, version=model.version)
     return None
 
 
-def _next_adapter(declared: DeclaredEngine, actual: EngineState) -> Order | None:
+def _next_adapter(declared: DeclaredEngine, actual: EngineState) -> EngineOrder | None:
     for name, model in sorted(declared.models.items()):
         running = actual.models[name]
         if not running.ready:
@@ -213,11 +215,13 @@
         for adapter in model.adapters:
             if adapter in running.adapters:
                 continue
-            return Order(kind=OrderKind.ADAPTER, model=name, version=model.version, adapter=adapter)
+            return EngineOrder(
+                kind=EngineOrderKind.ADAPTER, model=name, version=model.version, adapter=adapter
+            )
     return None
 
 
-def _next_role(declared: DeclaredEngine, actual: EngineState) -> Order | None:
+def _next_role(declared: DeclaredEngine, actual: EngineState) -> EngineOrder | None:
     if actual.role == declared.role:
         return None
-    return Order(kind=OrderKind.ROLE, role=declared.role)
+    return EngineOrder(kind=EngineOrderKind.ROLE, role=declared.role)
--- a/packages/core/tests/test_modelloads.py
+++ b/packages/core/tests/test_modelloads.py
@@ -17,7 +17,7 @@
     plan_model_loads,
 )
 
-LIMITS = WeightStoreLimits(bytes_per_second=1e9, concurrent=4)
+LIMITS = WeightStoreLimits(bytes_per_second=1e9, max_concurrent_loads=4)
 SIZES = {"a": 10_000_000_000, "b": 10_000_000_000}
 
 
@@ -33,7 +33,7 @@
         failure_domain=f"fd-{n % 3}",
         declared=frozenset(model_version(name) for name in declared.split()),
         ready=frozenset(model_version(name) for name in ready.split()),
-        room=room,
+        max_models=room,
     )
 
 
@@ -119,7 +119,7 @@
     """The first loads are of the model without a ready upstream, one in each failure domain."""
     fleet = [upstream(n, "a1", "a1" if n < 3 else "") for n in range(9)]
     fleet += [upstream(n, "b1") for n in range(9, 18)]
-    orders = plan_model_loads(fleet, SIZES, replace(LIMITS, concurrent=3))
+    orders = plan_model_loads(fleet, SIZES, replace(LIMITS, max_concurrent_loads=3))
     domains = {each.host: each.failure_domain for each in fleet}
     assert [order.model for order in orders] == ["b", "b", "b"]
     assert len({domains[order.host] for order in orders}) == 3
@@ -147,7 +147,7 @@
     for _ in range(40):
         before = ready_counts(fleet)
         fleet = apply_orders(fleet, plan_model_loads(fleet, SIZES, LIMITS))
-        assert all(len(each.ready) + len(each.loading) <= each.room for each in fleet)
+        assert all(len(each.ready) + len(each.loading) <= each.max_models for each in fleet)
         after = ready_counts(fleet)
         assert all(after[model] or not before[model] for model in declared)
         fleet = finish_loads(fleet)
--- a/packages/core/tests/test_reconcile.py
+++ b/packages/core/tests/test_reconcile.py
@@ -11,20 +11,20 @@
 from carobspool_core import (
     DeclaredEngine,
     DesiredState,
+    EngineOrder,
+    EngineOrderKind,
     EngineState,
     EpochRecord,
     Model,
-    Order,
-    OrderKind,
     RunningModel,
     Upstream,
     UpstreamKind,
     declared_engine,
-    differences,
+    describe_differences,
     epoch_from_json,
     epoch_to_json,
     next_order,
-    take_over_wait,
+    takeover_delay,
 )
 
 versions = st.sampled_from(["1", "2"])
@@ -43,18 +43,18 @@
 )
 
 
-def apply_order(state: EngineState, order: Order) -> EngineState:
+def apply_order(state: EngineState, order: EngineOrder) -> EngineState:
     """Return the state of an engine after it has carried out an order."""
     models = dict(state.models)
     name = order.model or ""
-    if order.kind is OrderKind.ROLE:
+    if order.kind is EngineOrderKind.ROLE:
         return replace(state, role=order.role or "")
-    if order.kind is OrderKind.UNLOAD:
+    if order.kind is EngineOrderKind.UNLOAD:
         del models[name]
-    if order.kind is OrderKind.LOAD:
+    if order.kind is EngineOrderKind.LOAD:
         kept = models[name].adapters if name in models else ()
         models[name] = RunningModel(version=order.version or "", adapters=kept)
-    if order.kind is OrderKind.ADAPTER:
+    if order.kind is EngineOrderKind.ADAPTER:
         extended = (*models[name].adapters, order.adapter or "")
         models[name] = replace(models[name], adapters=extended)
     return replace(state, models=models)
@@ -72,7 +72,7 @@
         if order is None:
             break
         state = apply_order(state, order)
-    assert differences(declared, state) == ()
+    assert describe_differences(declared, state) == ()
 
 
 @given(declared_engines, engine_states)
@@ -80,7 +80,7 @@
     declared: DeclaredEngine, state: EngineState
 ) -> None:
     """An engine that runs what is declared gets no order."""
-    if not differences(declared, state):
+    if not describe_differences(declared, state):
         assert next_order(declared, state) is None
 
 
@@ -89,7 +89,7 @@
     declared = DeclaredEngine(models={"m": Model(name="m", version="2", adapters=("a",))})
     state = EngineState(models={"m": RunningModel(version="2", ready=False)}, role="serve")
     assert next_order(declared, state) is None
-    assert "m: loading 2" in differences(declared, state)
+    assert "m: loading 2" in describe_differences(declared, state)
 
 
 def test_only_declared_engines_get_orders() -> None:
@@ -115,6 +115,6 @@
         epoch=4, holder="a", incarnation="i", lease_ttl=15.0, order_timeout=60.0, released=released
     )
     assert epoch_from_json(epoch_to_json(record)).unwrap() == record
-    assert take_over_wait(record) == wait
-    assert take_over_wait(None) == 0.0
+    assert takeover_delay(record) == wait
+    assert takeover_delay(None) == 0.0
     assert epoch_from_json({"epoch": -1}).failure().detail
--- a/packages/node/src/carobspool_node/upstreams/_engine_orders.py
+++ b/packages/node/src/carobspool_node/upstreams/_engine_orders.py
@@ -14,12 +14,12 @@
 from returns.result import Failure, Result, Success
 
 from carobspool_core import (
-    EngineOrders,
+    EngineControl,
+    EngineOrder,
     EngineState,
     Fence,
     Json,
     Millis,
-    Order,
     OrderFailure,
     OrderFault,
     RunningModel,
@@ -59,7 +59,7 @@
     body: bytes
 
 
-def http_engine_orders(url: str, *, key: str | None = None) -> EngineOrders:
+def http_engine_orders(url: str, *, key: str | None = None) -> EngineControl:
     """Return the state and orders of the engine behind ``url``.
 
     Args:
@@ -78,7 +78,7 @@
         self._url = url.rstrip("/")
         self._key = key
 
-    def state(self) -> Result[EngineState, OrderFailure]:
+    def read_state(self) -> Result[EngineState, OrderFailure]:
         """Read what the engine runs."""
         answer = self._exchange("/state", None, STATE_TIMEOUT)
         if not is_successful(answer):
@@ -91,7 +91,9 @@
             return _fail(OrderFault.UNREACHABLE, str(model.failure()[0]))
         return Success(_engine_state(model.unwrap()))
 
-    def order(self, order: Order, fence: Fence, *, timeout: Millis) -> Result[None, OrderFailure]:
+    def send_order(
+        self, order: EngineOrder, fence: Fence, *, timeout: Millis
+    ) -> Result[None, OrderFailure]:
         """Give one order and wait until it is carried out."""
         body = _order_json(order, fence)
         answer = self._exchange("/orders", json.dumps(body).encode("utf-8"), timeout)
@@ -137,7 +139,7 @@
         return headers
 
 
-def _order_json(order: Order, fence: Fence) -> Json:
+def _order_json(order: EngineOrder, fence: Fence) -> Json:
     value: dict[str, Json] = {"order": str(order.kind)}
     for name in ("model", "version", "adapter", "role"):
         field = getattr(order, name)
--- a/packages/node/src/carobspool_node/upstreams/_order_right.py
+++ b/packages/node/src/carobspool_node/upstreams/_order_right.py
@@ -23,7 +23,7 @@
     StoreFault,
     epoch_from_json,
     epoch_to_json,
-    take_over_wait,
+    takeover_delay,
 )
 from carobspool_node.roles import OrderSettings
 
@@ -178,7 +178,7 @@
         own = previous is not None and previous.incarnation == self._incarnation
         self._hold(record, written.unwrap(), asked)
         if not own:
-            self._quiet_until = self._clock.now() + take_over_wait(previous)
+            self._quiet_until = self._clock.now() + takeover_delay(previous)
         logging.info("event=order_epoch_taken upstream_key=%s epoch=%d", self._key, record.epoch)
         return Success(None)
 
--- a/packages/node/src/carobspool_node/upstreams/_reconciler.py
+++ b/packages/node/src/carobspool_node/upstreams/_reconciler.py
@@ -11,14 +11,14 @@
 from carobspool_core import (
     Clock,
     DeclaredEngine,
-    EngineOrders,
+    EngineControl,
+    EngineOrder,
     EngineState,
     Millis,
     ObjectStore,
-    Order,
     OrderFailure,
     OrderFault,
-    differences,
+    describe_differences,
     next_order,
 )
 from carobspool_node.roles import OrderSettings
@@ -43,7 +43,7 @@
 
     def __init__(
         self,
-        engine: EngineOrders,
+        engine: EngineControl,
         right: OrderRight,
         clock: Clock,
         settings: OrderSettings,
@@ -57,7 +57,7 @@
         self._declared = declared
         self._refresh = refresh
         self._status = EngineStatus()
-        self._last: Order | None = None
+        self._last: EngineOrder | None = None
         self._repeats = 0
         self._not_before: Millis = 0.0
         self._order_trouble = ""
@@ -72,7 +72,7 @@
         """Whether another process gives the orders; this one never does again."""
         return self._right.superseded
 
-    def step(self) -> Order | None:
+    def step(self) -> EngineOrder | None:
         """Read the engine and give at most one order.
 
         Returns:
@@ -109,9 +109,9 @@
         """Give the right to order back; only when no step is running."""
         self._right.release()
 
-    def _wanted(self) -> Order | None:
+    def _wanted(self) -> EngineOrder | None:
         declared = self._declared()
-        read = self._engine.state()
+        read = self._engine.read_state()
         if not is_successful(read):
             failure = read.failure()
             self._report(
@@ -132,7 +132,7 @@
             return True
         return not self._checks_fencing() and not self._right.in_lease()
 
-    def _send(self, order: Order) -> bool:
+    def _send(self, order: EngineOrder) -> bool:
         fence = self._right.next_fence()
         # A pause after `confirm` may have outlasted the lease; a successor may have given orders
         # since. What remains is a pause between this line and the sending of the order: an engine
@@ -149,7 +149,7 @@
             fence.epoch,
             fence.sequence,
         )
-        result = self._engine.order(order, fence, timeout=self._settings.timeout)
+        result = self._engine.send_order(order, fence, timeout=self._settings.timeout)
         failure = None if is_successful(result) else result.failure()
         self._slow_down(order, failed=failure is not None)
         self._order_trouble = ""
@@ -172,7 +172,7 @@
         logging.error("event=order_right_lost epoch=%d", self._right.epoch)
         self._repeat(trouble=_words(held.failure()))
 
-    def _slow_down(self, order: Order, *, failed: bool) -> None:
+    def _slow_down(self, order: EngineOrder, *, failed: bool) -> None:
         self._repeats = self._repeats + 1 if order == self._last else 1
         self._last = order
         if not failed and self._repeats <= REPEATS_AT_ONCE:
@@ -197,7 +197,7 @@
         before = self._status
         found: tuple[str, ...] = ()
         if declared is not None and actual is not None:
-            found = differences(declared, actual)
+            found = describe_differences(declared, actual)
         same = found == before.differences and (actual is None) == (before.actual is None)
         self._status = EngineStatus(
             declared=declared,
@@ -212,7 +212,7 @@
 def make_reconciler(
     *,
     store: ObjectStore,
-    engine: EngineOrders,
+    engine: EngineControl,
     clock: Clock,
     host: str,
     node: str,
--- a/packages/node/tests/test_reconciler.py
+++ b/packages/node/tests/test_reconciler.py
@@ -10,15 +10,15 @@
 
 from carobspool_core import (
     DeclaredEngine,
+    EngineOrder,
+    EngineOrderKind,
     EngineState,
     Fence,
     ManualClock,
     Millis,
     Model,
-    Order,
     OrderFailure,
     OrderFault,
-    OrderKind,
     RunningModel,
 )
 from carobspool_node.roles._settings import OrderSettings
@@ -35,14 +35,16 @@
 
     checks_fencing: bool = False
     now: EngineState = field(default_factory=lambda: EngineState(role="serve"))
-    given: list[tuple[Order, Fence]] = field(default_factory=list)
+    given: list[tuple[EngineOrder, Fence]] = field(default_factory=list)
     broken: OrderFault | None = None
 
-    def state(self) -> Result[EngineState, OrderFailure]:
+    def read_state(self) -> Result[EngineState, OrderFailure]:
         """Return what runs."""
         return Success(self.now)
 
-    def order(self, order: Order, fence: Fence, *, timeout: Millis) -> Result[None, OrderFailure]:
+    def send_order(
+        self, order: EngineOrder, fence: Fence, *, timeout: Millis
+    ) -> Result[None, OrderFailure]:
         """Carry out a load, an unload or a role."""
         if self.broken is not None:
             return Failure(OrderFailure(fault=self.broken))
@@ -50,9 +52,9 @@
             return Failure(OrderFailure(fault=OrderFault.OLD_FENCE, fence=self.now.fence))
         self.given.append((order, fence))
         models = dict(self.now.models)
-        if order.kind is OrderKind.LOAD:
+        if order.kind is EngineOrderKind.LOAD:
             models[order.model or ""] = RunningModel(version=order.version or "")
-        if order.kind is OrderKind.UNLOAD:
+        if order.kind is EngineOrderKind.UNLOAD:
             models.pop(order.model or "", None)
         self.now = replace(self.now, models=models, fence=max(fence, self.now.fence))
         return Success(None)
@@ -69,14 +71,16 @@
     engine: Engine
     meanwhile: Callable[[], None] = lambda: None
 
-    def state(self) -> Result[EngineState, OrderFailure]:
+    def read_state(self) -> Result[EngineState, OrderFailure]:
         """Return what runs."""
-        return self.engine.state()
+        return self.engine.read_state()
 
-    def order(self, order: Order, fence: Fence, *, timeout: Millis) -> Result[None, OrderFailure]:
+    def send_order(
+        self, order: EngineOrder, fence: Fence, *, timeout: Millis
+    ) -> Result[None, OrderFailure]:
         """Pause, then pass the order on."""
         self.meanwhile()
-        return self.engine.order(order, fence, timeout=timeout)
+        return self.engine.send_order(order, fence, timeout=timeout)
 
 
 class Site:
@@ -128,7 +132,7 @@
     """The engine comes to run what is declared, also after it restarted empty."""
     site = Site()
     sidecar = site.sidecar("a")
-    assert sidecar.step() == Order(kind=OrderKind.LOAD, model="m", version="1")
+    assert sidecar.step() == EngineOrder(kind=EngineOrderKind.LOAD, model="m", version="1")
     assert sidecar.step() is None
     assert sidecar.status.ready_models == ("m",)
     site.engine.now = EngineState(role="serve")
--- a/tools/cost_routing.py
+++ b/tools/cost_routing.py
@@ -196,7 +196,7 @@
         )
         for n in range(count)
     ]
-    limits = WeightStoreLimits(bytes_per_second=1e9, concurrent=8)
+    limits = WeightStoreLimits(bytes_per_second=1e9, max_concurrent_loads=8)
 
     def plan(n: int) -> list[LoadOrder]:
         return plan_model_loads(fleet, {"m": 10**10}, limits)
