--- a/packages/core/src/carobspool_core/records/_core_schema.py
+++ b/packages/core/src/carobspool_core/records/_core_schema.py
@@ -134,7 +134,7 @@
 
 
 def _with_bounds(schema: Schema, bounds: Bounds) -> Schema:
-    given = bounds.given()
+    given = bounds.as_dict()
     if not given:
         return schema
     if schema["type"] == "nullable":
--- a/packages/core/src/carobspool_core/records/_declaration.py
+++ b/packages/core/src/carobspool_core/records/_declaration.py
@@ -35,7 +35,7 @@
     max_length: int | None = None
     pattern: str | None = None
 
-    def given(self) -> dict[str, Any]:
+    def as_dict(self) -> dict[str, Any]:
         """Return the bounds that are set, by name."""
         found = {name: getattr(self, name) for name in self.__struct_fields__}
         return {name: value for name, value in found.items() if value is not None}
--- a/packages/core/src/carobspool_core/revision/__init__.py
+++ b/packages/core/src/carobspool_core/revision/__init__.py
@@ -2,13 +2,13 @@
 
 from carobspool_core.revision._delta import (
     Delta,
+    apply_changes,
     delta_between,
     pack_delta,
-    patch,
     root_digest,
     unpack_delta,
 )
-from carobspool_core.revision._diff import Change, Clash, diff, rebase, summarise
+from carobspool_core.revision._diff import Change, ChangeConflict, diff, rebase, summarise
 from carobspool_core.revision._parts import (
     MAX_PART_VALUE_CHARS,
     Part,
@@ -16,17 +16,17 @@
     Parts,
     decode_part,
     encode_part,
-    join,
-    split,
+    join_parts,
+    split_state,
 )
 from carobspool_core.revision._record import (
     RecordedChange,
     Revision,
     RevisionError,
-    record_changes,
-    revision_audit,
     revision_from_json,
+    revision_to_audit_record,
     revision_to_json,
+    to_recorded_changes,
 )
 from carobspool_core.revision._sections import SHARDS, Section, StateEntry, part_name
 
@@ -34,7 +34,7 @@
     "MAX_PART_VALUE_CHARS",
     "SHARDS",
     "Change",
-    "Clash",
+    "ChangeConflict",
     "Delta",
     "Part",
     "PartError",
@@ -44,21 +44,21 @@
     "RevisionError",
     "Section",
     "StateEntry",
+    "apply_changes",
     "decode_part",
     "delta_between",
     "diff",
     "encode_part",
-    "join",
+    "join_parts",
     "pack_delta",
     "part_name",
-    "patch",
     "rebase",
-    "record_changes",
-    "revision_audit",
     "revision_from_json",
+    "revision_to_audit_record",
     "revision_to_json",
     "root_digest",
-    "split",
+    "split_state",
     "summarise",
+    "to_recorded_changes",
     "unpack_delta",
 ]
--- a/packages/core/src/carobspool_core/revision/_delta.py
+++ b/packages/core/src/carobspool_core/revision/_delta.py
@@ -88,7 +88,9 @@
     return Delta(base=base, root=root_digest(digests), changes=tuple(changes))
 
 
-def patch(parts: Parts, changes: Sequence[RecordedChange]) -> Result[dict[str, Part], PartError]:
+def apply_changes(
+    parts: Parts, changes: Sequence[RecordedChange]
+) -> Result[dict[str, Part], PartError]:
     """Apply changes to parts, and return the resulting parts; ``parts`` itself is not modified.
 
     Since 0.1.
--- a/packages/core/src/carobspool_core/revision/_diff.py
+++ b/packages/core/src/carobspool_core/revision/_diff.py
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Clash:
+class ChangeConflict:
     """Two conflicting changes of one entry, made from the same base with different results.
 
     Attributes:
@@ -77,7 +77,7 @@
 
 def rebase(
     base: DesiredState, mine: DesiredState, head: DesiredState
-) -> Result[DesiredState, tuple[Clash, ...]]:
+) -> Result[DesiredState, tuple[ChangeConflict, ...]]:
     """Apply the changes from ``base`` to ``mine`` to ``head``.
 
     Changes of different entries merge, and so do equal changes of one entry. The result may still
@@ -91,16 +91,16 @@
     """
     theirs = {(each.section, each.name): each for each in diff(base, head)}
     to_apply: list[Change] = []
-    clashes: list[Clash] = []
+    conflicts: list[ChangeConflict] = []
     for change in diff(base, mine):
         other = theirs.get((change.section, change.name))
         if other is None:
             to_apply.append(change)
             continue
         if other.after != change.after:
-            clashes.append(Clash(mine=change, theirs=other))
-    if clashes:
-        return Failure(tuple(clashes))
+            conflicts.append(ChangeConflict(mine=change, theirs=other))
+    if conflicts:
+        return Failure(tuple(conflicts))
     return Success(_with_changes(head, to_apply))
 
 
--- a/packages/core/src/carobspool_core/revision/_parts.py
+++ b/packages/core/src/carobspool_core/revision/_parts.py
@@ -74,7 +74,7 @@
 """The parts of a state by name; parts without entries are omitted."""
 
 
-def split(
+def split_state(
     state: DesiredState, previous: Parts | None = None
 ) -> Result[dict[str, Part], tuple[PartError, ...]]:
     """Split a state into parts.
@@ -105,7 +105,7 @@
     return Failure(tuple(errors)) if errors else Success(parts)
 
 
-def join(parts: Parts, revision: int) -> DesiredState:
+def join_parts(parts: Parts, revision: int) -> DesiredState:
     """Assemble a state from its parts.
 
     Since 0.1.
--- a/packages/core/src/carobspool_core/revision/_record.py
+++ b/packages/core/src/carobspool_core/revision/_record.py
@@ -46,9 +46,9 @@
         author: Caller id of the operator.
         reason: Reason for the change, as the author gave it.
         at: Time of writing, in milliseconds since the Unix epoch.
-        write: Unique id of the write, by which a process recognises a revision that it wrote.
+        write_id: Unique id of the write, by which a process recognises a revision that it wrote.
         summary: One line for each change; of many changes, only the first are listed.
-        count: Number of changes.
+        change_count: Number of changes.
         parts: Digest of each part by part name.
         changes: The changes, or ``None`` when they were too long to store.
 
@@ -60,9 +60,9 @@
     author: str
     reason: str
     at: int
-    write: str
+    write_id: str
     summary: tuple[str, ...]
-    count: int
+    change_count: int
     parts: Mapping[str, str]
     changes: tuple[RecordedChange, ...] | None
 
@@ -87,7 +87,7 @@
     changes: str | None = None
 
 
-def record_changes(changes: Sequence[Change]) -> tuple[RecordedChange, ...] | None:
+def to_recorded_changes(changes: Sequence[Change]) -> tuple[RecordedChange, ...] | None:
     """Return the changes as they are stored, or ``None`` when they are too long for one object."""
     recorded = tuple(_to_recorded_change(change) for change in changes)
     return recorded if len(_encode_changes(recorded)) <= MAX_CHANGES_CHARS else None
@@ -102,9 +102,9 @@
         "author": revision.author,
         "reason": revision.reason,
         "at": revision.at,
-        "write": revision.write,
+        "write": revision.write_id,
         "summary": list(revision.summary),
-        "count": revision.count,
+        "count": revision.change_count,
         "parts": dict(revision.parts),
         "changes": None if changes is None else _encode_changes(changes),
     }
@@ -125,20 +125,20 @@
             author=found.author,
             reason=found.reason,
             at=found.at,
-            write=found.write,
+            write_id=found.write,
             summary=tuple(found.summary),
-            count=found.count,
+            change_count=found.count,
             parts=found.parts,
             changes=changes,
         )
     )
 
 
-def revision_audit(revision: Revision) -> AuditRecord:
+def revision_to_audit_record(revision: Revision) -> AuditRecord:
     """Return a revision as an audit record, with the entries by section and name."""
     changes = revision.changes
-    before: Json = {"changes": revision.count}
-    after: Json = {"changes": revision.count}
+    before: Json = {"changes": revision.change_count}
+    after: Json = {"changes": revision.change_count}
     if changes is not None:
         before = {_subject(each): each.before for each in changes}
         after = {_subject(each): each.after for each in changes}
--- a/packages/core/src/carobspool_core/schema/_folder.py
+++ b/packages/core/src/carobspool_core/schema/_folder.py
@@ -74,7 +74,7 @@
     return _check_and_convert(sources, revision=revision)
 
 
-def check_state(state: DesiredState) -> tuple[ConfigError, ...]:
+def find_state_errors(state: DesiredState) -> tuple[ConfigError, ...]:
     """Return the errors of a state that was merged from two others; empty if it is valid.
 
     Since 0.1.
--- a/packages/core/tests/test_revision.py
+++ b/packages/core/tests/test_revision.py
@@ -17,14 +17,14 @@
     Section,
     decode_part,
     diff,
-    join,
+    join_parts,
     rebase,
-    record_changes,
-    revision_audit,
     revision_from_json,
+    revision_to_audit_record,
     revision_to_json,
-    split,
+    split_state,
     summarise,
+    to_recorded_changes,
 )
 
 names = st.text("abcdef", min_size=1, max_size=3)
@@ -45,9 +45,9 @@
 def test_parts_join_to_the_same_state(state: DesiredState) -> None:
     """A state that is split into parts, encoded, decoded and joined is unchanged."""
     parts: dict[str, Part] = {}
-    for part in split(state).unwrap().values():
+    for part in split_state(state).unwrap().values():
         parts[part.name] = decode_part(part.name, part.digest, part.value).unwrap()
-    assert join(parts, 0) == state
+    assert join_parts(parts, 0) == state
 
 
 @given(states, states, states)
@@ -68,16 +68,16 @@
 
 def test_a_change_of_one_entry_changes_one_part() -> None:
     """Parts without a change are reused and not encoded again."""
-    before = split(state_of({f"o{number}": 1.0 for number in range(500)})).unwrap()
+    before = split_state(state_of({f"o{number}": 1.0 for number in range(500)})).unwrap()
     changed = state_of({f"o{number}": 1.0 for number in range(500)} | {"o7": 9.0})
-    after = split(changed, before).unwrap()
+    after = split_state(changed, before).unwrap()
     assert sum(after[name] is not before[name] for name in after) == 1
 
 
 @pytest.mark.parametrize("value", ["", "@@", "eJwDAAAAAAE="])
 def test_a_damaged_part_is_refused(value: str) -> None:
     """A part is refused if it cannot be decoded or does not match its digest."""
-    part = split(state_of({"a": 1.0})).unwrap()["batch"]
+    part = split_state(state_of({"a": 1.0})).unwrap()["batch"]
     assert decode_part(part.name, part.digest, value).failure().part == "batch"
     assert "not ffff" in decode_part(part.name, "ffff", part.value).failure().detail
 
@@ -88,8 +88,8 @@
     caller = Caller(id="x", organisation="o", key_hashes=hashes)
     state = DesiredState(callers={"x": caller})
     oversized = replace(state, callers={"x": replace(caller, key_hashes=hashes * 12)})
-    assert split(state).unwrap()
-    (error,) = split(oversized).failure()
+    assert split_state(state).unwrap()
+    (error,) = split_state(oversized).failure()
     assert error.part.startswith("callers/")
 
 
@@ -112,15 +112,15 @@
         author="ana",
         reason="more",
         at=5,
-        write="w",
+        write_id="w",
         summary=summarise(changes),
-        count=len(changes),
+        change_count=len(changes),
         parts={"models": "d"},
-        changes=record_changes(changes),
+        changes=to_recorded_changes(changes),
     )
     stored = json.loads(json.dumps(revision_to_json(revision)))
     assert revision_from_json(stored).unwrap() == revision
-    record = revision_audit(revision)
+    record = revision_to_audit_record(revision)
     assert (record.who, record.subject) == ("ana", "3")
     assert record.before["organisations/a"]["weight"] == 1.0
     assert record.after["organisations/a"]["weight"] == 2.0
--- a/packages/node/src/carobspool_node/configuration/_apply.py
+++ b/packages/node/src/carobspool_node/configuration/_apply.py
@@ -17,18 +17,18 @@
 from carobspool_core import DesiredState, ObjectStore, wall_millis
 from carobspool_core.revision import (
     Change,
-    Clash,
+    ChangeConflict,
     Parts,
     Revision,
     diff,
-    join,
+    join_parts,
     part_name,
     rebase,
-    record_changes,
-    split,
+    split_state,
     summarise,
+    to_recorded_changes,
 )
-from carobspool_core.schema import check_state
+from carobspool_core.schema import find_state_errors
 from carobspool_node.configuration._follower import ConfigurationFollower
 from carobspool_node.configuration._history import history
 from carobspool_node.configuration._objects import (
@@ -151,7 +151,7 @@
     if not changes:
         unchanged = Applied(revision=head.revision, changes=(), over=wanted.over, written=False)
         return Success(unchanged)
-    parts = split(wanted.state, head_parts)
+    parts = split_state(wanted.state, head_parts)
     if not is_successful(parts):
         return Failure(TooLarge(errors=parts.failure()))
     revision = _revision(request, head.revision + 1, changes, parts.unwrap())
@@ -175,11 +175,11 @@
         author=request.author,
         reason=request.reason,
         at=request.at,
-        write=request.write,
+        write_id=request.write,
         summary=summarise(changes),
-        count=len(changes),
+        change_count=len(changes),
         parts={name: part.digest for name, part in parts.items()},
-        changes=record_changes(changes),
+        changes=to_recorded_changes(changes),
     )
 
 
@@ -196,9 +196,9 @@
     result = rebase(base_state.unwrap(), mine, head)
     if not is_successful(result):
         others = _others(store, base, head.revision)
-        items = tuple(_conflict_item(clash, others) for clash in result.failure())
+        items = tuple(_conflict_item(conflict, others) for conflict in result.failure())
         return Failure(Conflict(head=head.revision, items=items))
-    errors = check_state(result.unwrap())
+    errors = find_state_errors(result.unwrap())
     if errors:
         others = _others(store, base, head.revision)
         return Failure(InvalidTogether(head=head.revision, errors=errors, over=others))
@@ -218,7 +218,7 @@
     if found is None:
         return Failure(ConfigReadError(detail=f"revision {number}", missing=True))
     parts = collect_parts(store, found.parts, known, {})
-    return parts.map(lambda read: join(read, number))
+    return parts.map(lambda read: join_parts(read, number))
 
 
 def _base_error(error: ConfigReadError, base: int, head: int) -> ApplyError:
@@ -232,13 +232,13 @@
     return history(store, max(base, head - LOOK_BACK), LOOK_BACK).value_or(())
 
 
-def _conflict_item(clash: Clash, others: Sequence[Revision]) -> ConflictItem:
+def _conflict_item(conflict: ChangeConflict, others: Sequence[Revision]) -> ConflictItem:
     author = None
     for revision in reversed(others):
-        if _touches(revision, clash.theirs):
+        if _touches(revision, conflict.theirs):
             author = revision
             break
-    return ConflictItem(mine=clash.mine, theirs=clash.theirs, by=author)
+    return ConflictItem(mine=conflict.mine, theirs=conflict.theirs, by=author)
 
 
 def _touches(revision: Revision, change: Change) -> bool:
--- a/packages/node/src/carobspool_node/configuration/_follower.py
+++ b/packages/node/src/carobspool_node/configuration/_follower.py
@@ -26,11 +26,11 @@
     Parts,
     RecordedChange,
     Revision,
+    apply_changes,
     decode_part,
     delta_between,
-    join,
+    join_parts,
     pack_delta,
-    patch,
     root_digest,
     unpack_delta,
 )
@@ -112,7 +112,7 @@
             delta = delta_between(self._state.revision, self._parts, parts)
             self._delta = None if delta is None else pack_delta(delta)
             self._parts = dict(parts)
-            self._state = join(parts, revision)
+            self._state = join_parts(parts, revision)
             logging.info("event=configuration_in_force revision=%d", revision)
             for callback in self._callbacks:
                 callback(self._state)
@@ -242,7 +242,7 @@
 
     def _patched(self, changes: Sequence[RecordedChange], root: str) -> dict[str, Part] | None:
         """Return the parts with changes, or ``None`` when they are not the ones announced."""
-        parts = patch(self._parts, changes).value_or(None)
+        parts = apply_changes(self._parts, changes).value_or(None)
         if parts is None:
             return None
         if root_digest({name: part.digest for name, part in parts.items()}) == root:
--- a/packages/node/src/carobspool_node/configuration/_history.py
+++ b/packages/node/src/carobspool_node/configuration/_history.py
@@ -9,7 +9,7 @@
 from returns.result import Failure, Result, Success
 
 from carobspool_core import AuditRecord, Json, ObjectStore, StoredObject, audit_from_json
-from carobspool_core.revision import Revision, revision_audit
+from carobspool_core.revision import Revision, revision_to_audit_record
 from carobspool_node.configuration._objects import (
     REVISIONS_PREFIX,
     ConfigReadError,
@@ -71,7 +71,7 @@
     revisions = history(store, max(0, head.unwrap() - limit), limit + PAGE)
     if not is_successful(revisions):
         return Failure(revisions.failure())
-    records = [revision_audit(revision) for revision in revisions.unwrap()]
+    records = [revision_to_audit_record(revision) for revision in revisions.unwrap()]
     for prefix in AUDITED_PREFIXES:
         found = _records_under(store, prefix)
         if not is_successful(found):
--- a/packages/node/src/carobspool_node/configuration/_write.py
+++ b/packages/node/src/carobspool_node/configuration/_write.py
@@ -73,7 +73,7 @@
     if not is_successful(found):
         return Failure(OutcomeUnknown(revision=revision.number, detail=found.failure().detail))
     standing = revision_from_json(found.unwrap().value)
-    return Success(is_successful(standing) and standing.unwrap().write == revision.write)
+    return Success(is_successful(standing) and standing.unwrap().write_id == revision.write_id)
 
 
 def _create(store: ObjectStore, key: str, value: object) -> StoreFailure | None:
--- a/tools/settings_reference.py
+++ b/tools/settings_reference.py
@@ -80,7 +80,7 @@
 
 
 def _record_bounds(field: Field) -> list[str]:
-    given = field.bounds.given()
+    given = field.bounds.as_dict()
     return [f"{sign} {given[name]}" for name, sign in BOUNDS.items() if name in given]
 
 
