--- a/packages/core/src/carobspool_core/__init__.pyi
+++ b/packages/core/src/carobspool_core/__init__.pyi
@@ -110,7 +110,7 @@
 )
 from ._rendezvous import first, owner, rank
 from ._retry import RetryPolicy, RetrySettings, make_retry_policy
-from ._route_types import Choice, RouteRequest, RoutingSettings, Target
+from ._route_types import DeclaredUpstream, RouteChoice, RouteRequest, RoutingSettings
 from ._routing import Router, make_router
 from ._shares import Demand, Subject, SubjectKind, UsageReport
 from ._spans import (
@@ -145,7 +145,6 @@
     "Caller",
     "CallerRole",
     "Cancel",
-    "Choice",
     "ChunkChange",
     "ChunkRefusal",
     "ChunkState",
@@ -155,6 +154,7 @@
     "Data",
     "Decision",
     "DeclaredEngine",
+    "DeclaredUpstream",
     "Demand",
     "DesiredState",
     "Dispatcher",
@@ -220,6 +220,7 @@
     "RetryPolicy",
     "RetrySettings",
     "Route",
+    "RouteChoice",
     "RouteRequest",
     "Router",
     "RoutingSettings",
@@ -237,7 +238,6 @@
     "SuspectChange",
     "SuspectGate",
     "Suspects",
-    "Target",
     "Ticket",
     "Upstream",
     "UpstreamKind",
--- a/packages/core/src/carobspool_core/_pools.py
+++ b/packages/core/src/carobspool_core/_pools.py
@@ -8,7 +8,7 @@
 from carobspool_core._ejection import Ejector
 from carobspool_core._load_estimate import Flight, LoadEstimate
 from carobspool_core._messages import Load, SidecarState
-from carobspool_core._route_types import Target
+from carobspool_core._route_types import DeclaredUpstream
 
 
 class PooledUpstream:
@@ -16,7 +16,7 @@
 
     __slots__ = ("declared", "estimate", "leaving_until", "lost", "pools", "ready", "state")
 
-    def __init__(self, declared: Target, *, lag_correction: bool) -> None:
+    def __init__(self, declared: DeclaredUpstream, *, lag_correction: bool) -> None:
         self.declared = declared
         self.estimate = LoadEstimate(lag_correction=lag_correction)
         self.state: SidecarState | None = None
@@ -41,7 +41,7 @@
             return False
         return target in self.ready
 
-    def observe(self, load: Load, now: Millis) -> None:
+    def apply_load_report(self, load: Load, now: Millis) -> None:
         """Apply a load report."""
         before = self.estimate.tokens
         self.estimate.observe(load, now)
--- a/packages/core/src/carobspool_core/_route_types.py
+++ b/packages/core/src/carobspool_core/_route_types.py
@@ -12,8 +12,8 @@
     """Routing parameters, varied mainly to measure the effect of each mechanism.
 
     Attributes:
-        choices: Number of random upstreams compared for a request; 1 ignores load, 2 is enough to
-            avoid herding.
+        sample_size: Number of random upstreams compared for a request; 1 ignores load, 2 is enough
+            to avoid herding.
         affinity: Whether requests with the same prefix prefer the same upstream.
         ejection: Whether slow and failing upstreams are ejected.
         prefer_own_domain: Whether an upstream of the entry's own failure domain is compared as
@@ -27,11 +27,11 @@
         load_bound: Multiple of the pool's mean load above which a preferred upstream is not used.
             1.25 keeps at least four fifths of the pool busy before affinity can overload an
             upstream.
-        free_share: Fraction of occupied slots below which a preferred upstream is always used: a
-            half-empty engine delays no request, however small the mean load.
+        affinity_free_share: Fraction of occupied slots below which a preferred upstream is always
+            used: a half-empty engine delays no request, however small the mean load.
     """
 
-    choices: int = 2
+    sample_size: int = 2
     affinity: bool = True
     ejection: bool = True
     prefer_own_domain: bool = True
@@ -40,11 +40,11 @@
     search_free_slot: bool = True
     own_domain_share: float = 0.25
     load_bound: float = 1.25
-    free_share: float = 0.75
+    affinity_free_share: float = 0.75
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Target:
+class DeclaredUpstream:
     """An upstream as declared.
 
     Attributes:
@@ -84,7 +84,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Choice:
+class RouteChoice:
     """The chosen upstream.
 
     Attributes:
--- a/packages/core/src/carobspool_core/_routing.py
+++ b/packages/core/src/carobspool_core/_routing.py
@@ -23,7 +23,12 @@
 from carobspool_core._messages import Load, Priority
 from carobspool_core._outcome import Failure, invalid_request, unavailable
 from carobspool_core._pools import Pool, PooledUpstream
-from carobspool_core._route_types import Choice, RouteRequest, RoutingSettings, Target
+from carobspool_core._route_types import (
+    DeclaredUpstream,
+    RouteChoice,
+    RouteRequest,
+    RoutingSettings,
+)
 from carobspool_core._selection import (
     candidates_for,
     has_capacity,
@@ -47,7 +52,7 @@
     its sidecar is reachable and which targets are ready.
 
     Args:
-        clock: Supplies the current time to `leaving`, which has no ``now`` argument.
+        clock: Supplies the current time to `set_leaving`, which has no ``now`` argument.
         rng: Source of the random choices.
         settings: Routing parameters.
 
@@ -63,7 +68,7 @@
         self._upstreams: dict[str, PooledUpstream] = {}
         self._pools: dict[str, Pool] = {}
 
-    def set_upstreams(self, targets: Sequence[Target]) -> None:
+    def set_upstreams(self, targets: Sequence[DeclaredUpstream]) -> None:
         """Replace the declared upstreams and keep the state of those that remain."""
         known = self._upstreams
         self._upstreams = {}
@@ -75,15 +80,15 @@
             self._upstreams[declared.host] = upstream
         self._rebuild_pools()
 
-    def observe(self, host: str, load: Load, now: Millis) -> None:
+    def apply_load_report(self, host: str, load: Load, now: Millis) -> None:
         """Apply a sidecar's load report and mark its host as not lost."""
         upstream = self._upstreams.get(host)
         if upstream is None:
             return
         _expire_leaving_mark(upstream, now)
-        upstream.observe(load, now)
+        upstream.apply_load_report(load, now)
 
-    def lost(self, host: str, now: Millis) -> None:
+    def mark_lost(self, host: str, now: Millis) -> None:
         """Mark a silent host as lost; it receives no requests."""
         upstream = self._upstreams.get(host)
         if upstream is None:
@@ -93,7 +98,7 @@
             pool.ejector.forget(host)
         upstream.mark_pools_stale()
 
-    def found(self, host: str, now: Millis) -> None:
+    def mark_found(self, host: str, now: Millis) -> None:
         """Remove a host's lost mark."""
         upstream = self._upstreams.get(host)
         if upstream is None:
@@ -101,7 +106,7 @@
         upstream.lost = False
         upstream.mark_pools_stale()
 
-    def leaving(self, host: str, leaving: bool = True) -> None:
+    def set_leaving(self, host: str, leaving: bool = True) -> None:
         """Mark a host as leaving; it receives no requests, whatever its reports say.
 
         The mark expires after `LEAVING_MARK_TTL`. Renew it for as long as the host is drained.
@@ -118,7 +123,7 @@
         if leaving is not was_leaving:
             upstream.mark_pools_stale()
 
-    def pick(self, request: RouteRequest, now: Millis) -> Result[Choice, Failure]:
+    def pick(self, request: RouteRequest, now: Millis) -> Result[RouteChoice, Failure]:
         """Choose an upstream.
 
         Returns:
@@ -131,12 +136,14 @@
             return Failed(invalid_request("model_not_found", message, status=404))
         probe = self._due_probe(pool, request, now)
         if probe is not None:
-            return Success(Choice(host=probe, affinity=False))
+            return Success(RouteChoice(host=probe, affinity=False))
         candidates = candidates_for(pool, request)
         if not candidates:
             return Failed(self._no_upstream(request))
         if request.suspect:
-            return Success(Choice(host=least_busy(candidates, self._settings).host, affinity=False))
+            return Success(
+                RouteChoice(host=least_busy(candidates, self._settings).host, affinity=False)
+            )
         choice = self._choose(pool, request, candidates)
         if not self._eject_if_slow(pool, choice.host, now):
             return Success(choice)
@@ -145,14 +152,14 @@
             return Failed(self._no_upstream(request))
         return Success(self._choose(pool, request, candidates))
 
-    def credits(self, target: str) -> int:
+    def batch_credits(self, target: str) -> int:
         """Return how many batch requests the target's upstreams would accept now."""
         pool = self._pools.get(target)
         if pool is None:
             return 0
         return sum(each.estimate.credits for each in pool.active)
 
-    def started(
+    def record_start(
         self,
         host: str,
         id: Hashable,
@@ -189,7 +196,7 @@
         if had_free_slot or host in pool.ejector.ejected:
             pool.ejector.record_start(host, id, now)
 
-    def first_token(self, host: str, id: Hashable, now: Millis) -> None:
+    def record_first_token(self, host: str, id: Hashable, now: Millis) -> None:
         """Record the first token of an answer."""
         upstream = self._upstreams.get(host)
         flight = upstream.estimate.flight(id) if upstream is not None else None
@@ -199,7 +206,7 @@
         if pool is not None:
             pool.ejector.record_first_token(host, id, now)
 
-    def ended(self, host: str, id: Hashable, ok: bool, now: Millis) -> None:
+    def record_end(self, host: str, id: Hashable, ok: bool, now: Millis) -> None:
         """Record the end of a request.
 
         Args:
@@ -247,16 +254,16 @@
 
     def _choose(
         self, pool: Pool, request: RouteRequest, candidates: Sequence[PooledUpstream]
-    ) -> Choice:
+    ) -> RouteChoice:
         if request.prefix_key is not None and self._settings.affinity:
             preferred = preferred_upstream(request.prefix_key, candidates)
             if has_capacity(preferred, request.cost_tokens, pool, self._settings):
-                return Choice(host=preferred.host, affinity=True)
+                return RouteChoice(host=preferred.host, affinity=True)
         chosen = least_busy_of_random(candidates, self._rng, self._settings)
         if candidates is pool.active:
             own_domain = pool.active_in_domain(request.failure_domain)
             chosen = own_domain_unless_busier(chosen, own_domain, self._rng, self._settings)
-        return Choice(host=chosen.host, affinity=False)
+        return RouteChoice(host=chosen.host, affinity=False)
 
     def _eject_if_slow(self, pool: Pool, host: str, now: Millis) -> bool:
         if not self._settings.ejection:
@@ -294,5 +301,5 @@
     upstream.mark_pools_stale()
 
 
-def _default_target(declared: Target) -> str:
+def _default_target(declared: DeclaredUpstream) -> str:
     return declared.targets[0] if declared.targets else ""
--- a/packages/core/src/carobspool_core/_selection.py
+++ b/packages/core/src/carobspool_core/_selection.py
@@ -63,7 +63,7 @@
     best = upstreams[index]
     if count == 1:
         return best
-    for _ in range(settings.choices - 1):
+    for _ in range(settings.sample_size - 1):
         index = (index + 1 + int(rng.random() * (count - 1))) % count
         other = upstreams[index]
         if load_key(other, settings) < load_key(best, settings):
@@ -112,7 +112,7 @@
     upstream: PooledUpstream, cost_tokens: int, pool: Pool, settings: RoutingSettings
 ) -> bool:
     """Return whether a preferred upstream may take another request of ``cost_tokens``."""
-    if upstream.estimate.requests < upstream.declared.slots * settings.free_share:
+    if upstream.estimate.requests < upstream.declared.slots * settings.affinity_free_share:
         return True
     # A warm cache saves part of the prompt's cost; waiting for a slot takes a whole answer.
     if settings.free_slot_first and not upstream.has_free_slot:
--- a/packages/core/tests/pool_model.py
+++ b/packages/core/tests/pool_model.py
@@ -18,6 +18,7 @@
 from returns.result import Success
 
 from carobspool_core import (
+    DeclaredUpstream,
     Failure,
     Load,
     ManualClock,
@@ -29,7 +30,6 @@
     RouteRequest,
     RoutingSettings,
     SidecarState,
-    Target,
     broken_upstream,
     make_load_reporter,
     make_retry_policy,
@@ -181,12 +181,14 @@
         slots = self._shape.slots
         router.set_upstreams(
             [
-                Target(host=host, failure_domain=f"fd-{n % 3}", targets=(MODEL,), slots=slots)
+                DeclaredUpstream(
+                    host=host, failure_domain=f"fd-{n % 3}", targets=(MODEL,), slots=slots
+                )
                 for n, host in enumerate(hosts)
             ]
         )
         for host in hosts:
-            router.observe(host, self.engines[host].load(), 0.0)
+            router.apply_load_report(host, self.engines[host].load(), 0.0)
         return router
 
     def _at(self, instant: Millis, event: Callable[[], None]) -> None:
@@ -207,7 +209,10 @@
         load, now = engine.load(), self._clock.now()
         if self._shape.report_every or engine.reporter.is_due(load, self._shape.entries, now):
             for router in self.routers:
-                self._after(LATENCY, lambda r=router: r.observe(host, load, self._clock.now()))  # type: ignore
+                self._after(
+                    LATENCY,
+                    lambda r=router: r.apply_load_report(host, load, self._clock.now()),  # type: ignore
+                )
         self._after(self._report_interval, lambda: self._report(host))
 
     def _arrive_at_entry(self, result: CallerResult) -> None:
@@ -242,7 +247,7 @@
             cost=cost,
             tried=tried | {host},
         )
-        self.routers[entry].started(host, attempt.id, cost, now)
+        self.routers[entry].record_start(host, attempt.id, cost, now)
         self._after(LATENCY, lambda: self._arrive_at_sidecar(attempt))
 
     def _arrive_at_sidecar(self, attempt: _Attempt) -> None:
@@ -272,7 +277,7 @@
         attempt.streaming = True
         now = self._clock.now() + LATENCY
         attempt.result.first_token = now - attempt.result.arrival.at
-        self.routers[attempt.entry].first_token(attempt.host, attempt.id, now)
+        self.routers[attempt.entry].record_first_token(attempt.host, attempt.id, now)
 
     def _end(self, engine: _Engine, attempt: _Attempt) -> None:
         if attempt.done:
@@ -287,15 +292,15 @@
     def _answered(self, attempt: _Attempt, load: Load) -> None:
         now = self._clock.now()
         router = self.routers[attempt.entry]
-        router.ended(attempt.host, attempt.id, True, now)
-        router.observe(attempt.host, load, now)
+        router.record_end(attempt.host, attempt.id, True, now)
+        router.apply_load_report(attempt.host, load, now)
         self._finish(attempt.result, None)
 
     def _fail(self, attempt: _Attempt, failure: Failure) -> None:
         attempt.done = True
         now = self._clock.now()
         refused = failure.type == "rate_limit_error"
-        self.routers[attempt.entry].ended(attempt.host, attempt.id, refused, now)
+        self.routers[attempt.entry].record_end(attempt.host, attempt.id, refused, now)
         policy = self._retry[attempt.entry]
         deadline = attempt.result.arrival.at + attempt.result.arrival.timeout
         streaming = attempt.streaming
@@ -311,7 +316,7 @@
         engine.crashed = True
         interrupted = [*engine.running.values(), *engine.queue]
         for router in self.routers:
-            self._after(LOST_DETECTION_DELAY, lambda r=router: r.lost(host, self._clock.now()))  # type: ignore
+            self._after(LOST_DETECTION_DELAY, lambda r=router: r.mark_lost(host, self._clock.now()))  # type: ignore
         for attempt in interrupted:
             self._fail(attempt, broken_upstream("broken", "", outcome=Outcome.UNKNOWN))
 
--- a/packages/core/tests/test_routing.py
+++ b/packages/core/tests/test_routing.py
@@ -9,17 +9,17 @@
 from returns.result import Success
 
 from carobspool_core import (
-    Choice,
+    DeclaredUpstream,
     Failure,
     Load,
     ManualClock,
     Outcome,
     Priority,
+    RouteChoice,
     Router,
     RouteRequest,
     RoutingSettings,
     SidecarState,
-    Target,
     make_router,
 )
 
@@ -48,16 +48,18 @@
     router = make_router(ManualClock(), Random(seed), settings)
     router.set_upstreams(
         [
-            Target(host=f"up-{n}", failure_domain=f"domain-{n % 3}", targets=(MODEL,), slots=8)
+            DeclaredUpstream(
+                host=f"up-{n}", failure_domain=f"domain-{n % 3}", targets=(MODEL,), slots=8
+            )
             for n in range(count)
         ]
     )
     for n in range(count):
-        router.observe(f"up-{n}", report(), 0.0)
+        router.apply_load_report(f"up-{n}", report(), 0.0)
     return router
 
 
-def pick(router: Router, now: float = 0.0, **values: object) -> Choice | Failure:
+def pick(router: Router, now: float = 0.0, **values: object) -> RouteChoice | Failure:
     """Return the choice or the failure for a request of 100 tokens."""
     request = RouteRequest(**({"target": MODEL, "cost_tokens": 100} | values))  # type: ignore
     result = router.pick(request, now)
@@ -67,7 +69,7 @@
 def picked(router: Router, now: float = 0.0, **values: object) -> str:
     """Return the host chosen for a request."""
     choice = pick(router, now, **values)
-    assert isinstance(choice, Choice)
+    assert isinstance(choice, RouteChoice)
     return choice.host
 
 
@@ -83,7 +85,7 @@
     """If every upstream is lost the caller receives 503, not run, with a retry delay."""
     router = router_of(3)
     for n in range(3):
-        router.lost(f"up-{n}", 1.0)
+        router.mark_lost(f"up-{n}", 1.0)
     failure = pick(router, 2.0)
     assert isinstance(failure, Failure)
     assert (failure.status, failure.outcome) == (503, Outcome.NOT_RUN)
@@ -93,11 +95,11 @@
 def test_lost_and_leaving_upstreams_receive_no_requests_until_they_return() -> None:
     """An upstream that is lost or leaving receives no requests until it returns."""
     router = router_of(3)
-    router.lost("up-0", 1.0)
-    router.leaving("up-1")
+    router.mark_lost("up-0", 1.0)
+    router.set_leaving("up-1")
     assert {picked(router) for _ in range(50)} == {"up-2"}
-    router.observe("up-1", report(), 2.0)
-    router.found("up-0", 3.0)
+    router.apply_load_report("up-1", report(), 2.0)
+    router.mark_found("up-0", 3.0)
     assert {picked(router) for _ in range(50)} == {"up-0", "up-2"}
 
 
@@ -107,7 +109,7 @@
     counts = dict.fromkeys((f"up-{n}" for n in range(9)), 0)
     for n in range(180):
         host = picked(router)
-        router.started(host, n, 100, 0.0)
+        router.record_start(host, n, 100, 0.0)
         counts[host] += 1
     assert max(counts.values()) <= 24
     assert min(counts.values()) >= 16
@@ -116,11 +118,11 @@
 def test_batch_goes_only_where_credits_are_left() -> None:
     """A batch request uses a granted credit, and is refused as not run if none is left."""
     router = router_of(3)
-    router.observe("up-1", report(batch_credits=2), 1.0)
+    router.apply_load_report("up-1", report(batch_credits=2), 1.0)
     for n in range(2):
         host = picked(router, 20.0, priority=Priority.BATCH)
         assert host == "up-1"
-        router.started(host, n, 10, 20.0, priority=Priority.BATCH)
+        router.record_start(host, n, 10, 20.0, priority=Priority.BATCH)
     assert isinstance(pick(router, 20.0, priority=Priority.BATCH), Failure)
 
 
@@ -128,8 +130,8 @@
     """Run requests of which those sent to ``hosts`` fail and the others succeed."""
     for n in range(rounds):
         host = picked(router, now)
-        router.started(host, (now, n), 100, now)
-        router.ended(host, (now, n), host not in hosts, now)
+        router.record_start(host, (now, n), 100, now)
+        router.record_end(host, (now, n), host not in hosts, now)
 
 
 def test_failing_upstreams_are_ejected_but_never_more_than_a_third() -> None:
@@ -148,15 +150,15 @@
     fail_all(router, {"up-0"}, 200, 1.0)
     assert "up-0" not in {picked(router, 4_000.0) for _ in range(100)}
     assert picked(router, 5_100.0) == "up-0"
-    router.started("up-0", "probe", 100, 5_100.0)
+    router.record_start("up-0", "probe", 100, 5_100.0)
     assert "up-0" not in {picked(router, 5_101.0) for _ in range(100)}
-    router.ended("up-0", "probe", False, 5_200.0)
+    router.record_end("up-0", "probe", False, 5_200.0)
     assert "up-0" not in {picked(router, 15_000.0) for _ in range(100)}
     for n in range(3):
         assert picked(router, 15_300.0) == "up-0"
-        router.started("up-0", n, 100, 15_300.0)
-        router.first_token("up-0", n, 15_310.0)
-        router.ended("up-0", n, True, 15_320.0)
+        router.record_start("up-0", n, 100, 15_300.0)
+        router.record_first_token("up-0", n, 15_310.0)
+        router.record_end("up-0", n, True, 15_320.0)
     assert {picked(router, 15_400.0) for _ in range(100)} == {"up-0", "up-1", "up-2"}
 
 
@@ -166,7 +168,7 @@
     own_domain = {"up-1", "up-4", "up-7"}
     assert {picked(router, failure_domain="domain-1") for _ in range(100)} == own_domain
     for host in own_domain:
-        router.observe(host, report(900, running=8), 1.0)
+        router.apply_load_report(host, report(900, running=8), 1.0)
     assert not own_domain & {picked(router, failure_domain="domain-1") for _ in range(100)}
 
 
@@ -176,7 +178,7 @@
     hosts = []
     for n in range(3):
         hosts.append(picked(router, suspect=True))
-        router.started(hosts[-1], n, 1, 0.0, suspect=True)
+        router.record_start(hosts[-1], n, 1, 0.0, suspect=True)
         if n == 1:
             assert set(hosts).isdisjoint({picked(router) for _ in range(50)})
     assert len(set(hosts)) == 3
@@ -223,19 +225,19 @@
         if action in ("ready", "down", "other"):
             state = SidecarState.UPSTREAM_DOWN if action == "down" else SidecarState.READY
             names = ("another",) if action == "other" else (MODEL,)
-            router.observe(host, report(state=state, targets=names), float(n))
+            router.apply_load_report(host, report(state=state, targets=names), float(n))
             lost.discard(host)
             ready = ready | {host} if action == "ready" else ready - {host}
         elif action in ("lost", "found"):
             lost = lost | {host} if action == "lost" else lost - {host}
-            (router.lost if action == "lost" else router.found)(host, float(n))
+            (router.mark_lost if action == "lost" else router.mark_found)(host, float(n))
         elif action in ("leave", "stay"):
             leaving = leaving | {host} if action == "leave" else leaving - {host}
-            router.leaving(host, action == "leave")
+            router.set_leaving(host, action == "leave")
         else:
-            router.started(host, n, 100, float(n))
-            router.ended(host, n, False, float(n))
+            router.record_start(host, n, 100, float(n))
+            router.record_end(host, n, False, float(n))
         allowed = ready - lost - leaving - exclude
         choice = pick(router, float(n), exclude=exclude, suspect=suspect)
-        assert isinstance(choice, Choice) == bool(allowed)
-        assert not isinstance(choice, Choice) or choice.host in allowed
+        assert isinstance(choice, RouteChoice) == bool(allowed)
+        assert not isinstance(choice, RouteChoice) or choice.host in allowed
--- a/packages/core/tests/test_routing_pool.py
+++ b/packages/core/tests/test_routing_pool.py
@@ -13,7 +13,7 @@
 CAPACITY = 30.0
 SEEDS = (1, 2)
 RANDOM_CHOICE = RoutingSettings(
-    choices=1, prefer_own_domain=False, free_slot_first=False, search_free_slot=False
+    sample_size=1, prefer_own_domain=False, free_slot_first=False, search_free_slot=False
 )
 
 
@@ -85,7 +85,7 @@
         hit_share[affinity] = sum(each.cached for each in results) / len(results)
     assert hit_share[True] > 2.0 * hit_share[False]
     bounded, _ = run(hot)
-    unlimited, _ = run(hot, routing=RoutingSettings(free_share=1e9))
+    unlimited, _ = run(hot, routing=RoutingSettings(affinity_free_share=1e9))
     assert share_answered(bounded) == 1.0
     assert p95(bounded) < 500.0 < p95(unlimited)
 
--- a/packages/node/src/carobspool_node/links/_fleet.py
+++ b/packages/node/src/carobspool_node/links/_fleet.py
@@ -9,9 +9,9 @@
 from returns.result import Result
 
 from carobspool_core import (
-    Choice,
     Clock,
     Configuration,
+    DeclaredUpstream,
     Failure,
     Hint,
     Load,
@@ -19,9 +19,9 @@
     Millis,
     Open,
     RequestId,
+    RouteChoice,
     Router,
     RouteRequest,
-    Target,
     Upstream,
     UpstreamKind,
 )
@@ -128,12 +128,12 @@
         """
         with self._lock:
             for host in hosts - self._drained:
-                self._router.leaving(host, True)
+                self._router.set_leaving(host, True)
             for host in self._drained - hosts:
-                self._router.leaving(host, False)
+                self._router.set_leaving(host, False)
             self._drained = hosts
 
-    def pick(self, request: RouteRequest) -> Result[Choice, Failure]:
+    def pick(self, request: RouteRequest) -> Result[RouteChoice, Failure]:
         """Choose the host for a request."""
         with self._lock:
             return self._router.pick(request, self._clock.now())
@@ -141,12 +141,12 @@
     def credits(self, target: str) -> int:
         """Return how many batch requests the sidecars of a model would take now."""
         with self._lock:
-            return self._router.credits(target)
+            return self._router.batch_credits(target)
 
     def started(self, host: str, request: Open) -> None:
         """Tell the router that an attempt was sent."""
         with self._lock:
-            self._router.started(
+            self._router.record_start(
                 host,
                 request.id,
                 request.cost_tokens,
@@ -159,12 +159,12 @@
     def first_token(self, host: str, identity: RequestId) -> None:
         """Tell the router that an attempt's answer has begun."""
         with self._lock:
-            self._router.first_token(host, identity, self._clock.now())
+            self._router.record_first_token(host, identity, self._clock.now())
 
     def ended(self, host: str, identity: RequestId, *, ok: bool) -> None:
         """Tell the router that an attempt is over."""
         with self._lock:
-            self._router.ended(host, identity, ok, self._clock.now())
+            self._router.record_end(host, identity, ok, self._clock.now())
 
     def peer(self, host: str) -> SidecarPeer | None:
         """Return the peer of a host."""
@@ -181,7 +181,7 @@
         with self._lock:
             # The router lets the mark of a leaving host lapse; a drain order does not lapse.
             for host in self._drained:
-                self._router.leaving(host, True)
+                self._router.set_leaving(host, True)
         for peer in self._all():
             peer.tick(now)
 
@@ -209,22 +209,22 @@
             if host not in self._peers:
                 return
             self._loads[host] = load
-            self._router.observe(host, load, self._clock.now())
+            self._router.apply_load_report(host, load, self._clock.now())
 
     def _lost(self, host: str) -> None:
         with self._lock:
-            self._router.lost(host, self._clock.now())
+            self._router.mark_lost(host, self._clock.now())
 
     def _found(self, host: str) -> None:
         with self._lock:
-            self._router.found(host, self._clock.now())
+            self._router.mark_found(host, self._clock.now())
 
 
-def _target(declared: Upstream) -> Target:
+def _target(declared: Upstream) -> DeclaredUpstream:
     names = declared.models
     if declared.kind is UpstreamKind.SERVICE and declared.service is not None:
         names = (declared.service,)
-    return Target(
+    return DeclaredUpstream(
         host=declared.host,
         failure_domain=declared.failure_domain,
         targets=names,
--- a/tools/cost_routing.py
+++ b/tools/cost_routing.py
@@ -13,6 +13,7 @@
 from random import Random
 
 from carobspool_core import (
+    DeclaredUpstream,
     Dispatcher,
     Hint,
     HintKind,
@@ -25,7 +26,6 @@
     RouteRequest,
     SidecarState,
     Subsets,
-    Target,
     UpstreamModels,
     WeightStoreLimits,
     make_dispatcher,
@@ -87,13 +87,13 @@
     router = make_router(ManualClock(), Random(1))
     router.set_upstreams(
         [
-            Target(host=f"up-{n}", failure_domain=f"fd-{n % 15}", targets=("m",))
+            DeclaredUpstream(host=f"up-{n}", failure_domain=f"fd-{n % 15}", targets=("m",))
             for n in range(count)
         ]
     )
     rng = Random(2)
     for n in range(count):
-        router.observe(f"up-{n}", _load(rng.randrange(9_000)), 0.0)
+        router.apply_load_report(f"up-{n}", _load(rng.randrange(9_000)), 0.0)
     return router
 
 
@@ -108,14 +108,17 @@
     _cost("pick, prefix", f"{count} upstreams", 200, lambda n: router.pick(prefixed[n], 1.0))
 
     def one_request(n: int) -> None:
-        router.started("up-1", n, 430, 1.0)
-        router.first_token("up-1", n, 30.0)
-        router.ended("up-1", n, True, 900.0)
+        router.record_start("up-1", n, 430, 1.0)
+        router.record_first_token("up-1", n, 30.0)
+        router.record_end("up-1", n, True, 900.0)
 
     _cost("started + first_token + ended", f"{count} upstreams", 2_000, one_request)
     loads = [_load(n) for n in range(50)]
     _cost(
-        "observe", f"{count} upstreams", 2_000, lambda n: router.observe("up-2", loads[n % 50], 2.0)
+        "observe",
+        f"{count} upstreams",
+        2_000,
+        lambda n: router.apply_load_report("up-2", loads[n % 50], 2.0),
     )
     hosts = [f"up-{n}" for n in range(count)]
     _cost("rendezvous owner", f"{count} nodes", 100, lambda n: owner(f"k{n}", hosts))
--- a/tools/routing_trial.py
+++ b/tools/routing_trial.py
@@ -37,20 +37,20 @@
 
 
 BLIND = RoutingSettings(
-    choices=1, prefer_own_domain=False, free_slot_first=False, search_free_slot=False
+    sample_size=1, prefer_own_domain=False, free_slot_first=False, search_free_slot=False
 )
 UNBOUNDED = RetrySettings(budget=1.0, reserve=1e9, overload_share=1e9)
 VARIANTS = {
     "all parts": Variant(),
     "one choice": Variant(routing=BLIND),
-    "three choices": Variant(routing=RoutingSettings(choices=3)),
+    "three choices": Variant(routing=RoutingSettings(sample_size=3)),
     "no lag correction": Variant(routing=RoutingSettings(lag_correction=False)),
     "reports each 1 s": Variant(report_every=1_000.0),
     "reports each 5 s": Variant(report_every=5_000.0),
     "no search": Variant(routing=RoutingSettings(search_free_slot=False)),
     "tokens alone": Variant(routing=RoutingSettings(free_slot_first=False)),
     "no affinity": Variant(routing=RoutingSettings(affinity=False)),
-    "affinity unbounded": Variant(routing=RoutingSettings(free_share=1e9)),
+    "affinity unbounded": Variant(routing=RoutingSettings(affinity_free_share=1e9)),
     "no ejection": Variant(routing=RoutingSettings(ejection=False)),
     "any domain": Variant(routing=RoutingSettings(prefer_own_domain=False)),
     "retries unbounded": Variant(retry=UNBOUNDED),
