--- a/packages/core/src/carobspool_core/__init__.pyi
+++ b/packages/core/src/carobspool_core/__init__.pyi
@@ -108,7 +108,7 @@
     differences,
     next_order,
 )
-from ._rendezvous import first, owner, rank
+from ._rendezvous import preferred_node, preferred_nodes, rank_nodes
 from ._retry import RetryPolicy, RetrySettings, make_retry_policy
 from ._route_types import DeclaredUpstream, RouteChoice, RouteRequest, RoutingSettings
 from ._routing import Router, make_router
@@ -123,7 +123,7 @@
     subtract_spans,
     unite_spans,
 )
-from ._subsets import Subsets, make_subsets, subset_size
+from ._subsets import SubsetAssignment, make_subset_assignment, subset_size
 from ._suspect_gate import SuspectGate, make_suspect_gate
 from ._suspect_records import SuspectChange, Verdict, VerdictKind
 from ._suspects import Suspects, make_suspects
@@ -234,7 +234,7 @@
     "StoredObject",
     "Subject",
     "SubjectKind",
-    "Subsets",
+    "SubsetAssignment",
     "SuspectChange",
     "SuspectGate",
     "Suspects",
@@ -267,7 +267,6 @@
     "epoch_from_json",
     "epoch_to_json",
     "finished",
-    "first",
     "heartbeat_interval",
     "invalid_request",
     "item_retry",
@@ -282,18 +281,19 @@
     "make_membership",
     "make_retry_policy",
     "make_router",
-    "make_subsets",
+    "make_subset_assignment",
     "make_suspect_gate",
     "make_suspects",
     "boottime_clock",
     "monotonic_clock",
     "next_order",
     "organisation_digest",
-    "owner",
     "peers_to_dial",
     "plan_model_loads",
+    "preferred_node",
+    "preferred_nodes",
     "progress_is_due",
-    "rank",
+    "rank_nodes",
     "rate_limited",
     "read_chunk",
     "read_job",
--- a/packages/core/src/carobspool_core/_gossip.py
+++ b/packages/core/src/carobspool_core/_gossip.py
@@ -20,7 +20,7 @@
 
 from carobspool_core._clock import Clock, Millis
 from carobspool_core._messages import Hint, HintKind
-from carobspool_core._rendezvous import first, rank
+from carobspool_core._rendezvous import preferred_nodes, rank_nodes
 
 SHORTCUTS = 4
 FAN_OUT = 3
@@ -55,9 +55,9 @@
     others = [each for each in entries if each != entry]
     if not others:
         return []
-    ring = rank("ring", [*others, entry])
+    ring = rank_nodes("ring", [*others, entry])
     successor = ring[(ring.index(entry) + 1) % len(ring)]
-    shortcuts = first(entry, [each for each in others if each != successor], SHORTCUTS)
+    shortcuts = preferred_nodes(entry, [each for each in others if each != successor], SHORTCUTS)
     return [successor, *shortcuts]
 
 
--- a/packages/core/src/carobspool_core/_rendezvous.py
+++ b/packages/core/src/carobspool_core/_rendezvous.py
@@ -5,7 +5,7 @@
 every prefix cache and every claim.
 
 A node's score is one XXH3 digest of its name, seeded with the key's digest. The cost is linear in
-the number of nodes; `owner` and `first` do not sort all nodes.
+the number of nodes; `preferred_node` and `preferred_nodes` do not sort all nodes.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from xxhash import xxh3_64_intdigest
 
 
-def rank(key: str, nodes: Sequence[str]) -> list[str]:
+def rank_nodes(key: str, nodes: Sequence[str]) -> list[str]:
     """Return all nodes, the most preferred for ``key`` first.
 
     The result depends only on the set of nodes, not on the order of ``nodes``.
@@ -30,15 +30,15 @@
     return sorted(nodes, key=_score_for(key), reverse=True)
 
 
-def first(key: str, nodes: Iterable[str], count: int) -> list[str]:
-    """Return the ``count`` most preferred nodes for ``key`` in order: the head of `rank`.
+def preferred_nodes(key: str, nodes: Iterable[str], count: int) -> list[str]:
+    """Return the ``count`` most preferred nodes for ``key`` in order: the head of `rank_nodes`.
 
     Since 0.1.
     """
     return heapq.nlargest(count, nodes, key=_score_for(key))
 
 
-def owner(key: str, nodes: Sequence[str]) -> str | None:
+def preferred_node(key: str, nodes: Sequence[str]) -> str | None:
     """Return the most preferred node for ``key``, or ``None`` if there are no nodes.
 
     Since 0.1.
--- a/packages/core/src/carobspool_core/_selection.py
+++ b/packages/core/src/carobspool_core/_selection.py
@@ -18,7 +18,7 @@
 
 from carobspool_core._messages import Priority
 from carobspool_core._pools import Pool, PooledUpstream
-from carobspool_core._rendezvous import first
+from carobspool_core._rendezvous import preferred_nodes
 from carobspool_core._route_types import RouteRequest, RoutingSettings
 
 
@@ -105,7 +105,7 @@
         upstreams: At least one.
     """
     by_host = {each.host: each for each in upstreams}
-    return by_host[first(prefix_key, by_host, 1)[0]]
+    return by_host[preferred_nodes(prefix_key, by_host, 1)[0]]
 
 
 def has_capacity(
--- a/packages/core/src/carobspool_core/_subsets.py
+++ b/packages/core/src/carobspool_core/_subsets.py
@@ -19,7 +19,7 @@
 
 from xxhash import xxh3_64_intdigest
 
-from carobspool_core._rendezvous import first
+from carobspool_core._rendezvous import preferred_nodes
 
 SUBSET_SIZE = 24
 """Sidecars of one model per entry. With a third of them lost 16 remain, and two random choices of
@@ -43,7 +43,7 @@
     return min(sidecars, max(SUBSET_SIZE, -(-entries_per_sidecar * sidecars // entries)))
 
 
-class Subsets:
+class SubsetAssignment:
     """The assignment of one model's sidecars to entries, updated incrementally.
 
     A change of one entry costs one digest per sidecar instead of one per pair: each sidecar's
@@ -72,7 +72,7 @@
         for host, preferred in self._preferences.items():
             self._preferences[host] = _update_preferences(host, preferred, added, gone)
 
-    def of(self, entry: str) -> list[str]:
+    def sidecars_of(self, entry: str) -> list[str]:
         """Return the sidecars that ``entry`` connects to.
 
         Args:
@@ -82,8 +82,8 @@
             return []
         return self._fill(entry, self._assign()[entry])
 
-    def all(self) -> dict[str, list[str]]:
-        """Return the sidecars of every entry; unlike `of`, fills the subset of each entry."""
+    def all_subsets(self) -> dict[str, list[str]]:
+        """Return the sidecars of every entry; unlike `sidecars_of`, fills the subset of each."""
         return {entry: self._fill(entry, hosts) for entry, hosts in self._assign().items()}
 
     def _fill(self, entry: str, hosts: list[str]) -> list[str]:
@@ -91,7 +91,7 @@
         if len(hosts) >= size:
             return hosts
         rest = set(self._sidecars).difference(hosts)
-        return hosts + first(entry, rest, size - len(hosts))
+        return hosts + preferred_nodes(entry, rest, size - len(hosts))
 
     def _assign(self) -> dict[str, list[str]]:
         size = subset_size(len(self._entries), len(self._sidecars))
@@ -181,9 +181,9 @@
     return kept
 
 
-def make_subsets() -> Subsets:
+def make_subset_assignment() -> SubsetAssignment:
     """Return an assignment without entries and sidecars.
 
     Since 0.1.
     """
-    return Subsets()
+    return SubsetAssignment()
--- a/packages/core/src/carobspool_core/direct/_watch_duty.py
+++ b/packages/core/src/carobspool_core/direct/_watch_duty.py
@@ -12,7 +12,7 @@
 
 from msgspec import Struct
 
-from carobspool_core._rendezvous import first
+from carobspool_core._rendezvous import preferred_nodes
 
 WATCHERS = 5
 """Entries that follow the store. They may be lost, cut off or turned away, several at a time; the
@@ -44,4 +44,4 @@
     reaching = [each.name for each in candidates if each.store_ok] or [
         each.name for each in candidates
     ]
-    return own.name in first(_DUTY, reaching, WATCHERS)
+    return own.name in preferred_nodes(_DUTY, reaching, WATCHERS)
--- a/packages/core/tests/test_subsets.py
+++ b/packages/core/tests/test_subsets.py
@@ -7,16 +7,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from carobspool_core import make_subsets, subset_size
+from carobspool_core import make_subset_assignment, subset_size
 
 
 def assignment(entries: int, sidecars: int) -> dict[str, list[str]]:
     """Return the assignment computed from scratch for a fleet."""
-    subsets = make_subsets()
+    subsets = make_subset_assignment()
     subsets.set_members(
         [f"entry-{n}" for n in range(entries)], [f"up-{n}" for n in range(sidecars)]
     )
-    return subsets.all()
+    return subsets.all_subsets()
 
 
 def entries_per_sidecar(assigned: dict[str, list[str]]) -> Counter[str]:
@@ -59,13 +59,13 @@
     """An entry that saw members join and leave computes the same assignment as a new one."""
     sidecars = [f"up-{n}" for n in range(120)]
     entries = {f"entry-{n}" for n in range(30)}
-    subsets = make_subsets()
+    subsets = make_subset_assignment()
     subsets.set_members(sorted(entries), sidecars)
-    subsets.all()
+    subsets.all_subsets()
     for change in changes:
         entries ^= {f"entry-{change}"}
         subsets.set_members(sorted(entries), sidecars)
-        subsets.all()
-    fresh = make_subsets()
+        subsets.all_subsets()
+    fresh = make_subset_assignment()
     fresh.set_members(sorted(entries), sidecars)
-    assert subsets.all() == fresh.all()
+    assert subsets.all_subsets() == fresh.all_subsets()
--- a/packages/node/src/carobspool_node/direct/_job_recovery.py
+++ b/packages/node/src/carobspool_node/direct/_job_recovery.py
@@ -13,8 +13,7 @@
 
 from absl import logging
 
-from carobspool_core import Clock, Millis
-from carobspool_core import owner as rendezvous_owner
+from carobspool_core import Clock, Millis, preferred_node
 from carobspool_core.direct import DEAD_AFTER
 from carobspool_node.direct._job_adoption import JobAdoption
 from carobspool_node.direct._job_runner import JobRunner
@@ -118,7 +117,7 @@
     def _is_mine(self, job_id: str) -> bool:
         nodes = [peer.name for peer in self._peers.live() if not peer.leaving]
         nodes.append(self._node)
-        return rendezvous_owner(job_id, nodes) == self._node
+        return preferred_node(job_id, nodes) == self._node
 
     def _adopt_orphans(self) -> None:
         while not self._leaving.is_set():
--- a/packages/node/src/carobspool_node/direct/_membership.py
+++ b/packages/node/src/carobspool_node/direct/_membership.py
@@ -8,8 +8,15 @@
 
 from returns.pipeline import is_successful
 
-from carobspool_core import Clock, Millis, ObjectChange, ObjectStore, StoredObject, StoreFault
-from carobspool_core import owner as rendezvous_owner
+from carobspool_core import (
+    Clock,
+    Millis,
+    ObjectChange,
+    ObjectStore,
+    StoredObject,
+    StoreFault,
+    preferred_node,
+)
 from carobspool_core.direct import DutyCandidate, SharedView, has_watch_duty
 from carobspool_core.problems import UnusableRecordError
 from carobspool_core.records import read_record
@@ -108,7 +115,7 @@
         """Whether this entry, of all that reach the store, does a duty for all of them."""
         nodes = [each.name for each in self._peers.live() if each.store_ok and not each.leaving]
         nodes.append(self._node)
-        return rendezvous_owner(duty, nodes) == self._node
+        return preferred_node(duty, nodes) == self._node
 
     def _register(self) -> None:
         """Write this entry's address, then learn those of the others.
--- a/packages/node/src/carobspool_node/jobs/_job_coordinator.py
+++ b/packages/node/src/carobspool_node/jobs/_job_coordinator.py
@@ -18,7 +18,7 @@
     Millis,
     ObjectStore,
     StoreFailure,
-    owner,
+    preferred_node,
     progress_is_due,
     wall_millis,
 )
@@ -72,7 +72,7 @@
             return
         self._coordinated_at = now
         for job_id, work in works.items():
-            if owner(job_id, live) != self._holder.node:
+            if preferred_node(job_id, live) != self._holder.node:
                 work.coordinated = False
                 continue
             if not work.coordinated:
--- a/packages/node/src/carobspool_node/jobs/_job_work.py
+++ b/packages/node/src/carobspool_node/jobs/_job_work.py
@@ -5,7 +5,7 @@
 from collections import deque
 from collections.abc import Callable, Mapping, Sequence
 
-from carobspool_core import Holder, Job, JobCounts, Millis, add_counts, owner
+from carobspool_core import Holder, Job, JobCounts, Millis, add_counts, preferred_node
 
 
 class JobWork:
@@ -95,7 +95,7 @@
             self._cursor += 1
             if number in self._done or number in self._taken:
                 continue
-            if owner(f"{self.job.id}/{number}", live) != node:
+            if preferred_node(f"{self.job.id}/{number}", live) != node:
                 continue
             holder = self._held.get(number)
             if holder is not None and not is_dead(holder):
--- a/packages/node/src/carobspool_node/jobs/_job_works.py
+++ b/packages/node/src/carobspool_node/jobs/_job_works.py
@@ -5,7 +5,7 @@
 from collections import deque
 from collections.abc import Callable, Iterable, Mapping
 
-from carobspool_core import Clock, Holder, Job, JobCounts, Millis, owner
+from carobspool_core import Clock, Holder, Job, JobCounts, Millis, preferred_node
 from carobspool_node.jobs._job_work import JobWork
 from carobspool_node.jobs._runner_ports import ChunkDone
 
@@ -97,7 +97,7 @@
         work = self._works.get(job_id)
         if work is not None:
             work.mark_finished_here(number, counts)
-        coordinator = owner(job_id, self._live)
+        coordinator = preferred_node(job_id, self._live)
         if coordinator is not None and coordinator != self._holder.node:
             self._tell_done(coordinator, ChunkDone(job=job_id, chunk=number, counts=counts))
 
@@ -114,10 +114,10 @@
         coordinator, after the next one has read the chunks, and the job would seem stuck.
         """
         for job_id, work in self._works.items():
-            coordinator = owner(job_id, live)
+            coordinator = preferred_node(job_id, live)
             if coordinator is None or coordinator == self._holder.node:
                 continue
-            if coordinator == owner(job_id, self._live):
+            if coordinator == preferred_node(job_id, self._live):
                 continue
             for number, counts in work.finished_here.items():
                 self._tell_done(coordinator, ChunkDone(job=job_id, chunk=number, counts=counts))
--- a/packages/node/src/carobspool_node/links/_connections.py
+++ b/packages/node/src/carobspool_node/links/_connections.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from carobspool_core import DesiredState, Subsets, Upstream, make_subsets
+from carobspool_core import DesiredState, SubsetAssignment, Upstream, make_subset_assignment
 
 
 class Connections:
@@ -15,7 +15,7 @@
 
     def __init__(self, entry: str) -> None:
         self._entry = entry
-        self._subsets: dict[str, Subsets] = {}
+        self._subsets: dict[str, SubsetAssignment] = {}
 
     def choose(self, state: DesiredState, live: Iterable[str]) -> dict[str, Upstream]:
         """Return the upstreams to connect to, by host.
@@ -28,9 +28,9 @@
         hosts_of = _hosts_by_target(state)
         chosen: set[str] = set()
         for target, hosts in hosts_of.items():
-            subset = self._subsets.setdefault(target, make_subsets())
+            subset = self._subsets.setdefault(target, make_subset_assignment())
             subset.set_members(entries, hosts)
-            chosen.update(subset.of(self._entry))
+            chosen.update(subset.sidecars_of(self._entry))
         for target in [target for target in self._subsets if target not in hosts_of]:
             del self._subsets[target]
         return {host: state.upstreams[host] for host in sorted(chosen)}
--- a/packages/node/tests/test_job_runner_faults.py
+++ b/packages/node/tests/test_job_runner_faults.py
@@ -9,7 +9,7 @@
 import pytest
 from _job_fleet import TTL, Fleet, Node, assert_whole, until
 
-from carobspool_core import JobStatus, owner
+from carobspool_core import JobStatus, preferred_node
 from carobspool_standins.memory_store import FaultKind, FaultRule
 
 
@@ -117,7 +117,7 @@
     fleet.upstreams.delay = 0.03
     job = fleet.submit(300)
     until(lambda: len(fleet.holders()) == 3 and fleet.job(job.id).counts.completed > 0)
-    name = owner(job.id, ("a", "b", "c"))
+    name = preferred_node(job.id, ("a", "b", "c"))
     assert name is not None
     if fault == "kill":
         fleet.nodes[name].kill()
--- a/tests/direct/test_shared_watch.py
+++ b/tests/direct/test_shared_watch.py
@@ -10,7 +10,7 @@
 import pytest
 from direct_harness import STANDARD_ROUTES, Deployment, Entry, deployment, eventually, route
 
-from carobspool_core import first
+from carobspool_core import preferred_nodes
 from carobspool_core.direct import _watch_duty
 from carobspool_standins.platform_server import ServedRequest, ServerConnection
 
@@ -40,7 +40,7 @@
 
 
 def _watchers(system: Deployment) -> list[Entry]:
-    names = first("watch", [each.name for each in system.entries], WATCHERS)
+    names = preferred_nodes("watch", [each.name for each in system.entries], WATCHERS)
     return [each for each in system.entries if each.name in names]
 
 
--- a/tools/cost_routing.py
+++ b/tools/cost_routing.py
@@ -25,17 +25,17 @@
     Router,
     RouteRequest,
     SidecarState,
-    Subsets,
+    SubsetAssignment,
     UpstreamModels,
     WeightStoreLimits,
     make_dispatcher,
     make_gossip,
     make_retry_policy,
     make_router,
-    make_subsets,
+    make_subset_assignment,
     make_suspects,
-    owner,
     plan_model_loads,
+    preferred_node,
     unavailable,
 )
 
@@ -121,7 +121,7 @@
         lambda n: router.apply_load_report("up-2", loads[n % 50], 2.0),
     )
     hosts = [f"up-{n}" for n in range(count)]
-    _cost("rendezvous owner", f"{count} nodes", 100, lambda n: owner(f"k{n}", hosts))
+    _cost("rendezvous owner", f"{count} nodes", 100, lambda n: preferred_node(f"k{n}", hosts))
 
 
 def _dispatcher(count: int) -> Dispatcher:
@@ -166,10 +166,10 @@
     hosts = [f"up-{n}" for n in range(sidecars)]
     size = f"{ENTRIES} entries, {sidecars} sidecars of a model"
 
-    def fresh(n: int) -> Subsets:
-        subsets = make_subsets()
+    def fresh(n: int) -> SubsetAssignment:
+        subsets = make_subset_assignment()
         subsets.set_members(entries, hosts)
-        subsets.of("entry-9")
+        subsets.sidecars_of("entry-9")
         return subsets
 
     _cost("subset, first time", size, 1, fresh)
@@ -177,7 +177,7 @@
 
     def change(n: int) -> None:
         subsets.set_members(entries[1:] if n % 2 else entries, hosts)
-        subsets.of("entry-9")
+        subsets.sidecars_of("entry-9")
 
     _cost("subset, one entry changed", size, 2, change)
 
--- a/tools/decisions_trial.py
+++ b/tools/decisions_trial.py
@@ -16,10 +16,10 @@
     ManualClock,
     Millis,
     VerdictKind,
-    first,
     make_dispatcher,
-    make_subsets,
+    make_subset_assignment,
     make_suspects,
+    preferred_nodes,
 )
 
 FAR: Millis = 1e12
@@ -129,16 +129,18 @@
 
 
 def _by_sidecars(entries: int, sidecars: int) -> str:
-    subsets = make_subsets()
+    subsets = make_subset_assignment()
     subsets.set_members(
         [f"entry-{n}" for n in range(entries)], [f"up-{n}" for n in range(sidecars)]
     )
-    return _spread(subsets.all(), sidecars)
+    return _spread(subsets.all_subsets(), sidecars)
 
 
 def _by_entries(entries: int, sidecars: int) -> str:
     hosts = [f"up-{n}" for n in range(sidecars)]
-    return _spread({f"entry-{n}": first(f"entry-{n}", hosts, 24) for n in range(entries)}, sidecars)
+    return _spread(
+        {f"entry-{n}": preferred_nodes(f"entry-{n}", hosts, 24) for n in range(entries)}, sidecars
+    )
 
 
 def _spread(assigned: dict[str, list[str]], sidecars: int) -> str:
