--- a/packages/core/src/carobspool_core/__init__.pyi
+++ b/packages/core/src/carobspool_core/__init__.pyi
@@ -36,6 +36,7 @@
 )
 from ._dispatch import Dispatcher, make_dispatcher
 from ._dispatch_jobs import JobShare
+from ._failure_detector import FailureDetector, heartbeat_interval, make_failure_detector
 from ._fairqueue import FairQueue, make_fair_queue
 from ._gossip import Gossip, make_gossip, peers_to_dial
 from ._item_retry import PREEMPTED, ItemOutcome, ItemRetry, item_retry
@@ -59,7 +60,6 @@
 from ._leases import LEASE_TTL, RENEWALS_PER_TTL, LeaseObserver, NodeLease
 from ._limits import Grant, Limiter, make_limiter
 from ._load_reports import LoadReporter, make_load_reporter, report_interval
-from ._membership import Membership, heartbeat_interval, make_membership
 from ._messages import (
     PROTOCOL_VERSION,
     Attach,
@@ -164,6 +164,7 @@
     "EpochError",
     "EpochRecord",
     "Failure",
+    "FailureDetector",
     "FairQueue",
     "Fence",
     "Gossip",
@@ -192,7 +193,6 @@
     "LoadReporter",
     "MAX_CHUNK_BYTES",
     "ManualClock",
-    "Membership",
     "Message",
     "Millis",
     "Model",
@@ -274,11 +274,11 @@
     "keyed_job_id",
     "make_admission",
     "make_dispatcher",
+    "make_failure_detector",
     "make_fair_queue",
     "make_gossip",
     "make_limiter",
     "make_load_reporter",
-    "make_membership",
     "make_retry_policy",
     "make_router",
     "make_subset_assignment",
--- a/packages/core/src/carobspool_core/_membership.py
+++ b/packages/core/src/carobspool_core/_failure_detector.py
@@ -38,7 +38,7 @@
     return max(MIN_HEARTBEAT_INTERVAL, affordable)
 
 
-class Membership:
+class FailureDetector:
     """Tracks the last message of each host that this process is connected to.
 
     Time during which this process itself was paused does not count as silence of the hosts.
@@ -72,7 +72,7 @@
         """Time between heartbeats at the current number of hosts."""
         return self._interval(len(self._last_seen) + len(self._lost))
 
-    def beat(self, host: str, now: Millis) -> bool:
+    def record_message(self, host: str, now: Millis) -> bool:
         """Record a message from a host.
 
         Returns:
@@ -91,7 +91,7 @@
         self._last_seen.pop(host, None)
         self._lost.discard(host)
 
-    def expire(self, now: Millis) -> list[str]:
+    def mark_silent_lost(self, now: Millis) -> list[str]:
         """Mark silent hosts as lost and return those newly marked.
 
         Call this method at least once per interval.
@@ -117,11 +117,11 @@
         self._active_time += min(step, self.interval)
 
 
-def make_membership(
+def make_failure_detector(
     clock: Clock, interval: Callable[[int], Millis] = heartbeat_interval
-) -> Membership:
+) -> FailureDetector:
     """Return the state of a process that monitors no host yet.
 
     Since 0.1.
     """
-    return Membership(clock, interval)
+    return FailureDetector(clock, interval)
--- a/packages/core/src/carobspool_core/_gossip.py
+++ b/packages/core/src/carobspool_core/_gossip.py
@@ -111,7 +111,7 @@
         """Number of sends dropped because the budget was exhausted, one per hint and link."""
         return self._dropped
 
-    def is_new(self, hint: Hint) -> bool:
+    def record_if_new(self, hint: Hint) -> bool:
         """Return whether a hint is seen for the first time, and remember it.
 
         An origin that restarts must use a new name or continue with higher sequence numbers;
@@ -125,13 +125,13 @@
             self._seen.popitem(last=False)
         return seen.add(hint.sequence)
 
-    def links_for(
+    def choose_links(
         self, hint: Hint, links: Sequence[str], size: int, now: Millis, *, source: str | None = None
     ) -> list[str]:
         """Return the connected entries to which a new hint is forwarded, and charge the budget.
 
         Args:
-            hint: A hint for which `is_new` returned ``True``.
+            hint: A hint for which `record_if_new` returned ``True``.
             links: All connected entries.
             size: Bytes that the hint takes on one link.
             now: The current time.
--- a/packages/core/src/carobspool_core/_load_reports.py
+++ b/packages/core/src/carobspool_core/_load_reports.py
@@ -12,7 +12,7 @@
 from __future__ import annotations
 
 from carobspool_core._clock import Millis
-from carobspool_core._membership import (
+from carobspool_core._failure_detector import (
     HEARTBEAT_BYTES,
     HEARTBEAT_BYTES_PER_SECOND,
     heartbeat_interval,
@@ -50,7 +50,7 @@
         self._sent: Load | None = None
         self._sent_at: Millis = 0.0
 
-    def is_due(self, load: Load, connections: int, now: Millis) -> bool:
+    def record_if_due(self, load: Load, connections: int, now: Millis) -> bool:
         """Return whether to send ``load`` to all entries now, and record it as sent if so.
 
         Call this method on each change and at least every `report_interval`.
--- a/packages/core/tests/pool_model.py
+++ b/packages/core/tests/pool_model.py
@@ -207,7 +207,9 @@
         if engine.crashed:
             return
         load, now = engine.load(), self._clock.now()
-        if self._shape.report_every or engine.reporter.is_due(load, self._shape.entries, now):
+        if self._shape.report_every or engine.reporter.record_if_due(
+            load, self._shape.entries, now
+        ):
             for router in self.routers:
                 self._after(
                     LATENCY,
--- a/packages/core/tests/test_gossip.py
+++ b/packages/core/tests/test_gossip.py
@@ -55,7 +55,7 @@
 def test_a_hint_is_new_once_in_any_order() -> None:
     """Late hints are new and repeated hints are not, in any order of arrival."""
     gossip = make_gossip(ManualClock(), Random(1))
-    fresh = [gossip.is_new(hint(sequence)) for sequence in (5, 3, 5, 4, 3, 9, 4, 2_000, 9)]
+    fresh = [gossip.record_if_new(hint(sequence)) for sequence in (5, 3, 5, 4, 3, 9, 4, 2_000, 9)]
     assert fresh == [True, True, False, True, False, True, False, True, False]
 
 
@@ -66,8 +66,8 @@
     sent = 0
     for n in range(6_000):
         ordinary = hint(n, HintKind.JOB_CHANGED)
-        sent += len(gossip.links_for(ordinary, peers, 100, n * 10.0)) * 100
+        sent += len(gossip.choose_links(ordinary, peers, 100, n * 10.0)) * 100
     assert sent <= 1_500 * 60 + 15_000
-    assert gossip.links_for(hint(7_000), peers, 100, 60_000.0, source="entry-3") == [
+    assert gossip.choose_links(hint(7_000), peers, 100, 60_000.0, source="entry-3") == [
         peer for peer in peers if peer != "entry-3"
     ]
--- a/packages/core/tests/test_load_reports.py
+++ b/packages/core/tests/test_load_reports.py
@@ -26,12 +26,12 @@
     Any other change is sent only with the next heartbeat.
     """
     reporter = make_load_reporter()
-    assert reporter.is_due(IDLE, 3, 0.0)
-    assert not reporter.is_due(replace(IDLE, running=8), 3, 50.0)
-    assert reporter.is_due(replace(IDLE, running=8), 3, 120.0)
-    assert not reporter.is_due(replace(IDLE, running=8, tokens=9), 3, 900.0)
-    assert reporter.is_due(replace(IDLE, running=8), 3, 1_120.0)
-    assert reporter.is_due(replace(IDLE, running=8, state=SidecarState.LEAVING), 3, 1_121.0)
+    assert reporter.record_if_due(IDLE, 3, 0.0)
+    assert not reporter.record_if_due(replace(IDLE, running=8), 3, 50.0)
+    assert reporter.record_if_due(replace(IDLE, running=8), 3, 120.0)
+    assert not reporter.record_if_due(replace(IDLE, running=8, tokens=9), 3, 900.0)
+    assert reporter.record_if_due(replace(IDLE, running=8), 3, 1_120.0)
+    assert reporter.record_if_due(replace(IDLE, running=8, state=SidecarState.LEAVING), 3, 1_121.0)
 
 
 def test_reports_cost_at_most_half_of_the_control_budget() -> None:
@@ -40,6 +40,6 @@
     sent = 0
     for n in range(60_000):
         load = replace(IDLE, running=n % 9)
-        sent += reporter.is_due(load, 22, float(n))
+        sent += reporter.record_if_due(load, 22, float(n))
     assert sent * 22 * 60 <= 1_500 * 60 + 22 * 60
     assert report_interval(22) == 880.0
--- a/packages/core/tests/test_membership.py
+++ b/packages/core/tests/test_membership.py
@@ -2,22 +2,22 @@
 
 from __future__ import annotations
 
-from carobspool_core import ManualClock, heartbeat_interval, make_membership
+from carobspool_core import ManualClock, heartbeat_interval, make_failure_detector
 
 
 def test_a_host_is_lost_after_three_missed_heartbeats_until_its_next_message() -> None:
     """A silent host is lost after 3 s, not before, and its next message ends that state."""
     clock = ManualClock()
-    membership = make_membership(clock)
-    membership.beat("up-0", 0.0)
+    detector = make_failure_detector(clock)
+    detector.record_message("up-0", 0.0)
     lost_at = []
     for second in range(1, 5):
-        membership.beat("up-1", second * 1000.0)
-        lost_at += [(second, host) for host in membership.expire(second * 1000.0)]
+        detector.record_message("up-1", second * 1000.0)
+        lost_at += [(second, host) for host in detector.mark_silent_lost(second * 1000.0)]
     assert lost_at == [(3, "up-0")]
-    assert membership.beat("up-0", 5000.0)
-    assert not membership.beat("up-0", 5001.0)
-    assert membership.lost == frozenset()
+    assert detector.record_message("up-0", 5000.0)
+    assert not detector.record_message("up-0", 5001.0)
+    assert detector.lost == frozenset()
 
 
 def test_a_pause_of_this_process_marks_no_host_lost() -> None:
@@ -25,12 +25,12 @@
 
     Afterwards a host that stays silent is still detected.
     """
-    membership = make_membership(ManualClock())
+    detector = make_failure_detector(ManualClock())
     for host in ("up-0", "up-1"):
-        membership.beat(host, 0.0)
-    assert membership.expire(60_000.0) == []
-    membership.beat("up-0", 60_500.0)
-    lost = [host for at in range(61, 65) for host in membership.expire(at * 1000.0)]
+        detector.record_message(host, 0.0)
+    assert detector.mark_silent_lost(60_000.0) == []
+    detector.record_message("up-0", 60_500.0)
+    lost = [host for at in range(61, 65) for host in detector.mark_silent_lost(at * 1000.0)]
     assert lost[0] == "up-1"
 
 
--- a/packages/node/src/carobspool_node/links/_hints.py
+++ b/packages/node/src/carobspool_node/links/_hints.py
@@ -207,13 +207,13 @@
 
     def _is_new(self, hint: Hint) -> bool:
         with self._lock:
-            return self._gossip.is_new(hint)
+            return self._gossip.record_if_new(hint)
 
     def _spread(self, hint: Hint, *, source: str | None = None) -> None:
         """Pass a hint on to as many entries as its urgency and the budget of bytes allow."""
         with self._lock:
             links = {link.peer.node: link for link in self._links}
-            chosen = self._gossip.links_for(
+            chosen = self._gossip.choose_links(
                 hint, sorted(links), _size(hint), self._clock.now(), source=source
             )
         for node in chosen:
--- a/packages/node/src/carobspool_node/upstreams/_load_reports.py
+++ b/packages/node/src/carobspool_node/upstreams/_load_reports.py
@@ -67,7 +67,7 @@
         while not stopped.wait(REPORT_POLL / 1000.0):
             count = len(self._links.connected)
             load = self._load()
-            if count and reporter.is_due(load, count, self._clock.now()):
+            if count and reporter.record_if_due(load, count, self._clock.now()):
                 self._links.broadcast(load)
 
     def _load(self) -> Load:
--- a/tools/cost_routing.py
+++ b/tools/cost_routing.py
@@ -223,8 +223,8 @@
     ]
 
     def pass_on(n: int) -> None:
-        gossip.is_new(hints[n])
-        gossip.links_for(hints[n], links, 100, float(n))
+        gossip.record_if_new(hints[n])
+        gossip.choose_links(hints[n], links, 100, float(n))
 
     _cost("gossip: is_new + links_for", "380 origins, 10 links", 5_000, pass_on)
 
