--- a/packages/core/src/carobspool_core/__init__.pyi
+++ b/packages/core/src/carobspool_core/__init__.pyi
@@ -39,7 +39,7 @@
 from ._failure_detector import FailureDetector, heartbeat_interval, make_failure_detector
 from ._fairqueue import FairQueue, make_fair_queue
 from ._gossip import Gossip, make_gossip, peers_to_dial
-from ._item_retry import PREEMPTED, ItemOutcome, ItemRetry, item_retry
+from ._item_retry import PREEMPTED, ItemOutcome, ItemRetry, decide_item_retry
 from ._job_records import chunk_value, job_value, read_chunk, read_job
 from ._jobs import (
     IDEMPOTENT_METADATA,
@@ -260,6 +260,7 @@
     "claim_chunk",
     "commit_part",
     "content_job_id",
+    "decide_item_retry",
     "declare_intents",
     "declared_engine",
     "differences",
@@ -269,7 +270,6 @@
     "finished",
     "heartbeat_interval",
     "invalid_request",
-    "item_retry",
     "job_value",
     "keyed_job_id",
     "make_admission",
--- a/packages/core/src/carobspool_core/_item_retry.py
+++ b/packages/core/src/carobspool_core/_item_retry.py
@@ -48,14 +48,14 @@
 
     Attributes:
         delay: Time to wait before the retry, in milliseconds.
-        counted: Whether the attempt counts towards the item's limit.
+        counts_as_attempt: Whether the attempt counts towards the item's limit.
     """
 
     delay: Millis
-    counted: bool
+    counts_as_attempt: bool
 
 
-def item_retry(
+def decide_item_retry(
     item: BatchItem, outcome: ItemOutcome, *, attempts: int, max_attempts: int
 ) -> ItemRetry | None:
     """Return how to retry an item, or ``None`` if the outcome is its result.
@@ -78,11 +78,11 @@
     if failure.outcome is Outcome.NOT_RUN:
         if failure.retry_after_ms is None:
             return None
-        return ItemRetry(delay=max(failure.retry_after_ms, FIRST_BACKOFF), counted=False)
+        return ItemRetry(delay=max(failure.retry_after_ms, FIRST_BACKOFF), counts_as_attempt=False)
     if not item.idempotent:
         return None
     if failure.code == PREEMPTED:
-        return ItemRetry(delay=0.0, counted=False)
+        return ItemRetry(delay=0.0, counts_as_attempt=False)
     return _counted_retry(attempts, max_attempts)
 
 
@@ -90,4 +90,4 @@
     if attempts >= max_attempts:
         return None
     delay = FIRST_BACKOFF * 2.0 ** (attempts - 1)
-    return ItemRetry(delay=min(delay, MAX_BACKOFF), counted=True)
+    return ItemRetry(delay=min(delay, MAX_BACKOFF), counts_as_attempt=True)
--- a/packages/core/src/carobspool_core/_retry.py
+++ b/packages/core/src/carobspool_core/_retry.py
@@ -77,7 +77,7 @@
             return False
         return self._refusals > self._settings.overload_share * self._requests
 
-    def request(self) -> None:
+    def record_request(self) -> None:
         """Count a first attempt, which earns a fraction of a retry."""
         self._decay(self._clock.now())
         self._requests += 1.0
@@ -85,7 +85,7 @@
             self._settings.reserve, self._available_retries + self._settings.budget
         )
 
-    def may_retry(
+    def consume_retry(
         self,
         failure: Failure,
         idempotent: bool,
--- a/packages/core/tests/pool_model.py
+++ b/packages/core/tests/pool_model.py
@@ -220,7 +220,7 @@
     def _arrive_at_entry(self, result: CallerResult) -> None:
         entry = self._rng.randrange(self._shape.entries)
         self.first_attempts += 1
-        self._retry[entry].request()
+        self._retry[entry].record_request()
         self._send(entry, result, frozenset())
 
     def _send(self, entry: int, result: CallerResult, tried: frozenset[str]) -> None:
@@ -306,7 +306,9 @@
         policy = self._retry[attempt.entry]
         deadline = attempt.result.arrival.at + attempt.result.arrival.timeout
         streaming = attempt.streaming
-        if not policy.may_retry(failure, True, attempt.result.attempts, deadline, streaming, now):
+        if not policy.consume_retry(
+            failure, True, attempt.result.attempts, deadline, streaming, now
+        ):
             self._finish(attempt.result, failure)
             return
         self.retries += 1
--- a/packages/core/tests/test_retry.py
+++ b/packages/core/tests/test_retry.py
@@ -45,7 +45,7 @@
     attempts.
     """
     policy = make_retry_policy(ManualClock())
-    assert policy.may_retry(failure, idempotent, attempt, deadline, sent, 0.0) is allowed
+    assert policy.consume_retry(failure, idempotent, attempt, deadline, sent, 0.0) is allowed
 
 
 def test_retries_add_a_tenth_when_every_request_fails() -> None:
@@ -53,8 +53,8 @@
     policy = make_retry_policy(ManualClock())
     retried = 0
     for n in range(2_000):
-        policy.request()
-        retried += policy.may_retry(UNKNOWN, True, 1, 1e9, False, float(n))
+        policy.record_request()
+        retried += policy.consume_retry(UNKNOWN, True, 1, 1e9, False, float(n))
     assert 190 <= retried <= 210
 
 
@@ -65,15 +65,15 @@
     late = 0
     for n in range(400):
         clock.advance(5.0)
-        policy.request()
+        policy.record_request()
         if n % 2:
-            retried = policy.may_retry(FULL, True, 1, 1e9, False, clock.now())
+            retried = policy.consume_retry(FULL, True, 1, 1e9, False, clock.now())
             late += retried and n > 100
     assert late == 0
     assert policy.overloaded
     clock.advance(20_000.0)
-    policy.request()
-    assert policy.may_retry(NOT_RUN, True, 1, 1e9, False, clock.now())
+    policy.record_request()
+    assert policy.consume_retry(NOT_RUN, True, 1, 1e9, False, clock.now())
 
 
 def test_delays_are_random_and_bounded() -> None:
--- a/packages/node/src/carobspool_node/callers/_forward.py
+++ b/packages/node/src/carobspool_node/callers/_forward.py
@@ -109,7 +109,7 @@
         A failure is final: its outcome is `NOT_RUN` only if no attempt can have run.
         """
         with self._retries_lock:
-            self._retries.request()
+            self._retries.record_request()
         tried: set[str] = set()
         unsure = False
         number = 0
@@ -189,7 +189,7 @@
             # A suspect has one claimed run; its caller may ask for another.
             return False
         with self._retries_lock:
-            return self._retries.may_retry(
+            return self._retries.consume_retry(
                 failure,
                 request.open.idempotent,
                 number,
--- a/packages/node/src/carobspool_node/jobs/_owned_chunk.py
+++ b/packages/node/src/carobspool_node/jobs/_owned_chunk.py
@@ -16,8 +16,8 @@
     Holder,
     ItemOutcome,
     Millis,
+    decide_item_retry,
     finished,
-    item_retry,
     span_count,
     span_indexes,
     spans_of,
@@ -129,11 +129,13 @@
             return
         del self._running[index]
         counted = self._counted.get(index, 0) + 1
-        retry = item_retry(attempt.item, outcome, attempts=counted, max_attempts=max_attempts)
+        retry = decide_item_retry(
+            attempt.item, outcome, attempts=counted, max_attempts=max_attempts
+        )
         if retry is None:
             self._results[index] = item_result(attempt.item, outcome)
             return
-        if retry.counted:
+        if retry.counts_as_attempt:
             self._counted[index] = counted
         if not attempt.item.idempotent:
             self._started.discard(index)
--- a/tools/cost_routing.py
+++ b/tools/cost_routing.py
@@ -208,8 +208,8 @@
     failure = unavailable("no_upstream", "")
 
     def request_and_failure(n: int) -> None:
-        retry.request()
-        retry.may_retry(failure, True, 1, 1e9, False, float(n))
+        retry.record_request()
+        retry.consume_retry(failure, True, 1, 1e9, False, float(n))
 
     _cost("retry: request + may_retry", "-", 5_000, request_and_failure)
     suspects = make_suspects(clock)
