--- a/packages/core/src/carobspool_core/__init__.pyi
+++ b/packages/core/src/carobspool_core/__init__.pyi
@@ -125,8 +125,8 @@
 )
 from ._subsets import SubsetAssignment, make_subset_assignment, subset_size
 from ._suspect_gate import SuspectGate, make_suspect_gate
-from ._suspect_records import SuspectChange, Verdict, VerdictKind
-from ._suspects import Suspects, make_suspects
+from ._suspect_records import SuspectUpdate, Verdict, VerdictKind
+from ._suspects import SuspectTable, make_suspect_table
 from ._tickets import QueueBounds, Ticket
 from ._work import AdmissionMode, AdmissionSettings, AdmissionSnapshot, Decision, Work
 
@@ -235,9 +235,9 @@
     "Subject",
     "SubjectKind",
     "SubsetAssignment",
-    "SuspectChange",
     "SuspectGate",
-    "Suspects",
+    "SuspectTable",
+    "SuspectUpdate",
     "Ticket",
     "Upstream",
     "UpstreamKind",
@@ -283,8 +283,8 @@
     "make_router",
     "make_subset_assignment",
     "make_suspect_gate",
-    "make_suspects",
     "boottime_clock",
+    "make_suspect_table",
     "monotonic_clock",
     "next_order",
     "organisation_digest",
--- a/packages/core/src/carobspool_core/_suspect_gate.py
+++ b/packages/core/src/carobspool_core/_suspect_gate.py
@@ -28,7 +28,7 @@
     def __init__(self) -> None:
         self._running: Hashable | None = None
 
-    def enter(self, id: Hashable) -> Failure | None:
+    def admit(self, id: Hashable) -> Failure | None:
         """Admit a suspect.
 
         Returns:
@@ -40,7 +40,7 @@
         self._running = id
         return None
 
-    def leave(self, id: Hashable) -> None:
+    def release(self, id: Hashable) -> None:
         """Record the end of a request; call this method for every request, suspect or not."""
         if self._running == id:
             self._running = None
--- a/packages/core/src/carobspool_core/_suspect_records.py
+++ b/packages/core/src/carobspool_core/_suspect_records.py
@@ -33,7 +33,7 @@
     """The result of checking a fingerprint.
 
     Attributes:
-        kind: For ``SUSPECT``, call `Suspects.claim` before running the request.
+        kind: For ``SUSPECT``, call `SuspectTable.claim` before running the request.
         failure: The failure to return to the caller at once; ``None`` if the request may run.
     """
 
@@ -42,13 +42,13 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class SuspectChange:
+class SuspectUpdate:
     """A fingerprint's new state, for other entries and for the fingerprint's object in the store.
 
     Attributes:
         fingerprint: Digest of organisation and body.
         quarantined: Whether the fingerprint is quarantined now.
-        values: The values for `Suspects.merge`.
+        values: The values for `SuspectTable.merge`.
     """
 
     fingerprint: str
--- a/packages/core/src/carobspool_core/_suspects.py
+++ b/packages/core/src/carobspool_core/_suspects.py
@@ -28,8 +28,8 @@
 from carobspool_core._outcome import Failure
 from carobspool_core._suspect_records import (
     CRASHES_TO_QUARANTINE,
-    SuspectChange,
     SuspectRecord,
+    SuspectUpdate,
     Verdict,
     VerdictKind,
     already_running_failure,
@@ -43,7 +43,7 @@
 """Time by which a claim outlasts its request's timeout, for an answer still in transit."""
 
 
-class Suspects:
+class SuspectTable:
     """Suspected and quarantined fingerprints, as known to one entry.
 
     Args:
@@ -72,7 +72,7 @@
 
     def claim(
         self, fingerprint: str, holder: str, host: str, now: Millis, *, timeout: Millis
-    ) -> Result[SuspectChange, Failure]:
+    ) -> Result[SuspectUpdate, Failure]:
         """Claim the single run of a suspect.
 
         Read the fingerprint's object and merge it first. Before the request is sent, write the
@@ -100,7 +100,7 @@
 
     def renew(
         self, fingerprint: str, holder: str, now: Millis, *, timeout: Millis
-    ) -> SuspectChange | None:
+    ) -> SuspectUpdate | None:
         """Extend the claim of a run that continues.
 
         Claims are short and renewed, so that a suspect is not blocked for long if its entry dies.
@@ -114,7 +114,7 @@
             return None
         return self._set_claim(fingerprint, record, now, timeout)
 
-    def release(self, fingerprint: str, holder: str, now: Millis) -> SuspectChange | None:
+    def release(self, fingerprint: str, holder: str, now: Millis) -> SuspectUpdate | None:
         """End a claim after a run that neither completed nor crashed its upstream."""
         record = self._unexpired_record(fingerprint, now)
         if record is None or record.holder != holder:
@@ -127,9 +127,9 @@
         held = (each for each in self._records.values() if now < each.held_until)
         return frozenset(each.host for each in held)
 
-    def crashed(
+    def record_crash(
         self, host: str, fingerprints: Iterable[str], now: Millis, *, crash_id: str | None = None
-    ) -> list[SuspectChange]:
+    ) -> list[SuspectUpdate]:
         """Record the crash of an upstream.
 
         Send the changes to the other entries before the callers receive the failure: a caller may
@@ -156,7 +156,7 @@
             changes.append(self._change(fingerprint, record, now))
         return changes
 
-    def completed(self, fingerprint: str, now: Millis) -> SuspectChange | None:
+    def record_completion(self, fingerprint: str, now: Millis) -> SuspectUpdate | None:
         """Clear a suspect that completed; a quarantined request stays quarantined.
 
         Returns:
@@ -179,11 +179,11 @@
             record.held_until = now
         self._merge_claim(record, values, now)
 
-    def change(self, fingerprint: str, now: Millis) -> SuspectChange:
+    def current_state(self, fingerprint: str, now: Millis) -> SuspectUpdate:
         """Return a fingerprint's state in the form that is written and sent."""
         return self._change(fingerprint, self._refresh_or_create(fingerprint, now), now)
 
-    def expire(self, now: Millis) -> None:
+    def remove_expired(self, now: Millis) -> None:
         """Remove expired records; call this method periodically."""
         expired = [
             fingerprint
@@ -195,7 +195,7 @@
 
     def _set_claim(
         self, fingerprint: str, record: SuspectRecord, now: Millis, timeout: Millis
-    ) -> SuspectChange:
+    ) -> SuspectUpdate:
         self._claim_count += 1
         record.claim = f"{record.holder}#{self._claim_count}"
         record.held_until = now + timeout + CLAIM_MARGIN
@@ -246,7 +246,7 @@
                 return
         self._records.popitem(last=False)
 
-    def _change(self, fingerprint: str, record: SuspectRecord, now: Millis) -> SuspectChange:
+    def _change(self, fingerprint: str, record: SuspectRecord, now: Millis) -> SuspectUpdate:
         values = {"crashes": " ".join(sorted(record.crashes))}
         if record.cleared:
             values["cleared"] = " ".join(sorted(record.cleared))
@@ -256,15 +256,15 @@
             values["host"] = record.host
             values["held_ms"] = f"{max(0.0, record.held_until - now):.0f}"
         quarantined = record.evidence >= CRASHES_TO_QUARANTINE
-        return SuspectChange(fingerprint=fingerprint, quarantined=quarantined, values=values)
+        return SuspectUpdate(fingerprint=fingerprint, quarantined=quarantined, values=values)
 
 
-def make_suspects(clock: Clock) -> Suspects:
+def make_suspect_table(clock: Clock) -> SuspectTable:
     """Return the state of an entry that knows no suspects.
 
     Since 0.1.
     """
-    return Suspects(clock)
+    return SuspectTable(clock)
 
 
 def _split_ids(ids: str) -> set[str]:
--- a/packages/core/tests/test_suspects.py
+++ b/packages/core/tests/test_suspects.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from returns.result import Success
 
-from carobspool_core import ManualClock, Outcome, VerdictKind, make_suspect_gate, make_suspects
+from carobspool_core import ManualClock, Outcome, VerdictKind, make_suspect_gate, make_suspect_table
 
 CULPRIT = "culprit"
 DAY = 86_400_000.0
@@ -26,7 +26,7 @@
         self.rng = rng
         self.races = races
         self.clock = ManualClock()
-        self.entries = [make_suspects(self.clock) for _ in range(entries)]
+        self.entries = [make_suspect_table(self.clock) for _ in range(entries)]
         self.store: dict[str, tuple[int, dict[str, str]]] = {}
         self.versions: list[dict[str, int]] = [{} for _ in range(entries)]
         self.hints: list[tuple[int, str, dict[str, str]]] = []
@@ -78,7 +78,7 @@
     def write_with_retries(self, entry: int, fingerprint: str, values: dict[str, str]) -> None:
         """Write evidence; after each conflict, merge the stored values and retry."""
         while not self.write(entry, fingerprint, values):
-            values = self.entries[entry].change(fingerprint, self.clock.now()).values
+            values = self.entries[entry].current_state(fingerprint, self.clock.now()).values
 
     def send(self, entry: int, fingerprint: str, beside: tuple[str, ...] = ()) -> int:
         """Run a request through an entry and return the status that its caller receives."""
@@ -100,7 +100,7 @@
         if fingerprint == CULPRIT:
             self.crash(entry, (fingerprint, *beside))
             return 502
-        completed = suspects.completed(fingerprint, now)
+        completed = suspects.record_completion(fingerprint, now)
         if completed is not None:
             self.write_with_retries(entry, fingerprint, completed.values)
             self.queue_hints(entry, fingerprint, completed.values)
@@ -110,7 +110,7 @@
         """Crash an upstream; the evidence is written and sent before the caller is answered."""
         self.crashes += 1
         now = self.clock.now()
-        for change in self.entries[entry].crashed(
+        for change in self.entries[entry].record_crash(
             "up", fingerprints, now, crash_id=f"c{self.crashes}"
         ):
             self.write_with_retries(entry, change.fingerprint, change.values)
@@ -187,8 +187,8 @@
 def test_a_resend_during_the_single_run_is_refused() -> None:
     """While one entry runs a suspect, the others refuse it as not run, with a retry delay."""
     clock = ManualClock()
-    one, other = make_suspects(clock), make_suspects(clock)
-    for change in one.crashed("up-0", ["f"], 0.0):
+    one, other = make_suspect_table(clock), make_suspect_table(clock)
+    for change in one.record_crash("up-0", ["f"], 0.0):
         other.merge(change.fingerprint, change.values, 0.0)
     claimed = one.claim("f", "entry-1", "up-1", 1.0, timeout=2_000.0).unwrap()
     other.merge("f", claimed.values, 2.0)
@@ -202,8 +202,8 @@
 def test_the_claim_of_a_dead_entry_expires_and_a_renewed_claim_continues() -> None:
     """Reading the same object again does not extend a claim; a renewal does."""
     clock = ManualClock()
-    one, other = make_suspects(clock), make_suspects(clock)
-    evidence = one.crashed("up-0", ["f"], 0.0)[0]
+    one, other = make_suspect_table(clock), make_suspect_table(clock)
+    evidence = one.record_crash("up-0", ["f"], 0.0)[0]
     other.merge("f", evidence.values, 0.0)
     claim = one.claim("f", "entry-1", "up-1", 0.0, timeout=10_000.0).unwrap()
     other.merge("f", claim.values, 0.0)
@@ -218,23 +218,23 @@
 
 def test_a_crash_reported_by_several_entries_counts_once_and_evidence_expires() -> None:
     """Several reports of one crash count once; quarantine expires a week after the last change."""
-    suspects = make_suspects(ManualClock())
+    suspects = make_suspect_table(ManualClock())
     for _ in range(3):
-        suspects.crashed("up-0", ["f"], 0.0, crash_id="up-0/a")
+        suspects.record_crash("up-0", ["f"], 0.0, crash_id="up-0/a")
     assert suspects.check("f", 1.0).kind is VerdictKind.SUSPECT
-    suspects.crashed("up-1", ["f"], 2.0, crash_id="up-1/a")
+    suspects.record_crash("up-1", ["f"], 2.0, crash_id="up-1/a")
     assert suspects.check("f", 3.0).kind is VerdictKind.QUARANTINED
-    assert suspects.completed("f", 4.0) is None
+    assert suspects.record_completion("f", 4.0) is None
     assert suspects.check("f", 6 * DAY).kind is VerdictKind.QUARANTINED
     assert suspects.check("f", 7 * DAY + 2.0).kind is VerdictKind.CLEAR
 
 
 def test_the_state_is_bounded_and_evicts_suspects_before_quarantines() -> None:
     """Many new suspects evict older suspects, but not the quarantined request."""
-    suspects = make_suspects(ManualClock())
-    suspects.crashed("up-0", ["f"], 0.0)
-    suspects.crashed("up-1", ["f"], 1.0)
-    suspects.crashed("up-2", (f"flood-{n}" for n in range(25_000)), 2.0)
+    suspects = make_suspect_table(ManualClock())
+    suspects.record_crash("up-0", ["f"], 0.0)
+    suspects.record_crash("up-1", ["f"], 1.0)
+    suspects.record_crash("up-2", (f"flood-{n}" for n in range(25_000)), 2.0)
     assert suspects.check("f", 3.0).kind is VerdictKind.QUARANTINED
     assert suspects.check("flood-0", 3.0).kind is VerdictKind.CLEAR
     assert suspects.check("flood-24999", 3.0).kind is VerdictKind.SUSPECT
@@ -243,10 +243,10 @@
 def test_the_gate_admits_one_suspect_at_a_time() -> None:
     """A second suspect at the same upstream is refused as not run until the first has ended."""
     gate = make_suspect_gate()
-    assert gate.enter("a") is None
-    failure = gate.enter("b")
+    assert gate.admit("a") is None
+    failure = gate.admit("b")
     assert failure is not None and failure.outcome is Outcome.NOT_RUN
-    gate.leave("c")
-    assert gate.enter("b") is not None
-    gate.leave("a")
-    assert gate.enter("b") is None
+    gate.release("c")
+    assert gate.admit("b") is not None
+    gate.release("a")
+    assert gate.admit("b") is None
--- a/packages/node/src/carobspool_node/process/_entry_node.py
+++ b/packages/node/src/carobspool_node/process/_entry_node.py
@@ -17,7 +17,7 @@
     make_limiter,
     make_retry_policy,
     make_router,
-    make_suspects,
+    make_suspect_table,
     monotonic_clock,
 )
 from carobspool_node.callers import (
@@ -95,7 +95,7 @@
             make_limiter(self._clock, settings.node), self._clock, tell=self._hints.tell
         )
         self._isolation = Isolation(
-            make_suspects(self._clock),
+            make_suspect_table(self._clock),
             self._store,
             self._clock,
             holder=f"{settings.node}/{self._identity.incarnation}",
--- a/packages/node/src/carobspool_node/requests/_isolation.py
+++ b/packages/node/src/carobspool_node/requests/_isolation.py
@@ -29,8 +29,8 @@
     Open,
     StoredObject,
     StoreFault,
-    SuspectChange,
-    Suspects,
+    SuspectTable,
+    SuspectUpdate,
     Verdict,
     VerdictKind,
     unavailable,
@@ -60,7 +60,7 @@
 
     def __init__(
         self,
-        suspects: Suspects,
+        suspects: SuspectTable,
         store: ObjectStore,
         clock: Clock,
         *,
@@ -141,7 +141,7 @@
         """Clear a suspect that ran to its end."""
         with self._lock:
             self._held.pop(fingerprint, None)
-            change = self._suspects.completed(fingerprint, self._clock.now())
+            change = self._suspects.record_completion(fingerprint, self._clock.now())
         self._publish(change)
 
     def released(self, fingerprint: str) -> None:
@@ -157,7 +157,7 @@
         """Take a sidecar's report of what was in flight when its upstream crashed."""
         crash = f"{hint.subject}@{hint.origin}.{hint.sequence}"
         with self._lock:
-            changes = self._suspects.crashed(
+            changes = self._suspects.record_crash(
                 hint.subject, hint.values, self._clock.now(), crash_id=crash
             )
         logging.warning(
@@ -174,9 +174,9 @@
     def tick(self) -> None:
         """Renew the claims of runs that go on, and drop what is too old; called each second."""
         now = self._clock.now()
-        changes: list[SuspectChange | None] = []
+        changes: list[SuspectUpdate | None] = []
         with self._lock:
-            self._suspects.expire(now)
+            self._suspects.remove_expired(now)
             if now - self._renewed_at > CLAIM_TIME / 3:
                 self._renewed_at = now
                 changes = [
@@ -186,27 +186,27 @@
         for change in changes:
             self._publish(change)
 
-    def _publish(self, change: SuspectChange | None) -> None:
+    def _publish(self, change: SuspectUpdate | None) -> None:
         if change is None:
             return
         self._tell_change(change)
         if not self._stopped.is_set():
             self._writer.submit(self._keep, change)
 
-    def _tell_change(self, change: SuspectChange) -> None:
+    def _tell_change(self, change: SuspectUpdate) -> None:
         kind = HintKind.QUARANTINE if change.quarantined else HintKind.SUSPECT
         if change.quarantined:
             logging.warning("event=quarantined fingerprint=%s", change.fingerprint)
         self._tell(kind, change.fingerprint, change.values)
 
-    def _keep(self, change: SuspectChange) -> None:
+    def _keep(self, change: SuspectUpdate) -> None:
         for _ in range(WRITE_TRIES):
             version = self._merge_stored(change.fingerprint)
             if is_successful(version):
                 # What another entry has written is merged by now; writing only the news of this
                 # one would take that evidence out of the object.
                 with self._lock:
-                    merged = self._suspects.change(change.fingerprint, self._clock.now())
+                    merged = self._suspects.current_state(change.fingerprint, self._clock.now())
                 if is_successful(self._write(merged, version.unwrap())):
                     return
             if self._stopped.wait(RETRY_DELAY / 1000.0):
@@ -226,14 +226,14 @@
         with self._lock:
             self._suspects.merge(fingerprint, value["values"], self._clock.now())
 
-    def _write(self, change: SuspectChange, version: int) -> Result[object, object]:
+    def _write(self, change: SuspectUpdate, version: int) -> Result[object, object]:
         value = self._value(change)
         key = PREFIX + change.fingerprint
         if version == 0:
             return self._store.create(key, value)
         return self._store.update(key, value, version=version)
 
-    def _value(self, change: SuspectChange) -> Json:
+    def _value(self, change: SuspectUpdate) -> Json:
         value: Json = {"values": change.values, "quarantined": change.quarantined}
         if change.quarantined:
             value["audit"] = [
--- a/tools/cost_routing.py
+++ b/tools/cost_routing.py
@@ -33,7 +33,7 @@
     make_retry_policy,
     make_router,
     make_subset_assignment,
-    make_suspects,
+    make_suspect_table,
     plan_model_loads,
     preferred_node,
     unavailable,
@@ -212,8 +212,8 @@
         retry.consume_retry(failure, True, 1, 1e9, False, float(n))
 
     _cost("retry: request + may_retry", "-", 5_000, request_and_failure)
-    suspects = make_suspects(clock)
-    suspects.crashed("up-1", [f"f{n}" for n in range(20_000)], 0.0)
+    suspects = make_suspect_table(clock)
+    suspects.record_crash("up-1", [f"f{n}" for n in range(20_000)], 0.0)
     _cost("suspects: check", "20,000 records", 5_000, lambda n: suspects.check(f"f{n}", 1.0))
     gossip = make_gossip(clock, Random(1))
     links = [f"entry-{n}" for n in range(10)]
--- a/tools/decisions_trial.py
+++ b/tools/decisions_trial.py
@@ -18,7 +18,7 @@
     VerdictKind,
     make_dispatcher,
     make_subset_assignment,
-    make_suspects,
+    make_suspect_table,
     preferred_nodes,
 )
 
@@ -156,7 +156,7 @@
 def _crashes(isolate: bool, seed: int) -> int:
     """Send one crashing request 40 times through three entries; hints arrive between sends."""
     rng = Random(seed)
-    entries = [make_suspects(ManualClock()) for _ in range(3)]
+    entries = [make_suspect_table(ManualClock()) for _ in range(3)]
     down: set[int] = set()
     for n in range(40):
         entry = entries[rng.randrange(3)]
@@ -166,7 +166,7 @@
             continue
         host = rng.randrange(9)
         down.add(host)
-        for change in entry.crashed(f"up-{host}", ["f"], now, crash_id=f"{n}"):
+        for change in entry.record_crash(f"up-{host}", ["f"], now, crash_id=f"{n}"):
             for other in entries:
                 other.merge("f", change.values, now)
     return len(down)
