--- a/packages/core/src/carobspool_core/_messages.py
+++ b/packages/core/src/carobspool_core/_messages.py
@@ -72,7 +72,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Beat:
+class Heartbeat:
     """Heartbeat of a side that has nothing else to send.
 
     Attributes:
@@ -243,5 +243,16 @@
 
 
 Message = (
-    Hello | Proof | Beat | Open | Head | Data | End | Cancel | Attach | Load | Configuration | Hint
+    Hello
+    | Proof
+    | Heartbeat
+    | Open
+    | Head
+    | Data
+    | End
+    | Cancel
+    | Attach
+    | Load
+    | Configuration
+    | Hint
 )
--- a/packages/node/src/carobspool_node/links/_codec.py
+++ b/packages/node/src/carobspool_node/links/_codec.py
@@ -15,13 +15,13 @@
 
 from carobspool_core import (
     Attach,
-    Beat,
     Cancel,
     Configuration,
     Data,
     End,
     Failure,
     Head,
+    Heartbeat,
     Hello,
     Hint,
     HintKind,
@@ -48,7 +48,7 @@
     Load,
     Configuration,
     Hint,
-    Beat,
+    Heartbeat,
 )
 _NUMBERS: dict[type[Any], int] = {kind: number for number, kind in enumerate(_TYPES)}
 _NAMES: dict[type[Any], tuple[str, ...]] = {
--- a/packages/node/src/carobspool_node/links/_hints.py
+++ b/packages/node/src/carobspool_node/links/_hints.py
@@ -14,9 +14,9 @@
 from absl import logging
 
 from carobspool_core import (
-    Beat,
     Clock,
     Configuration,
+    Heartbeat,
     Hint,
     HintKind,
     Message,
@@ -150,7 +150,7 @@
     def tick(self) -> None:
         """Send heartbeats and close connections that have fallen silent."""
         now = self._clock.now()
-        self.broadcast(Beat(sent=now))
+        self.broadcast(Heartbeat(sent=now))
         with self._lock:
             silent = [link for link, at in self._heard.items() if now - at > SILENCE_LIMIT]
         for link in silent:
--- a/packages/node/src/carobspool_node/links/_sidecar_peer.py
+++ b/packages/node/src/carobspool_node/links/_sidecar_peer.py
@@ -10,13 +10,13 @@
 
 from carobspool_core import (
     Attach,
-    Beat,
     Cancel,
     Clock,
     Configuration,
     Data,
     End,
     Head,
+    Heartbeat,
     Hint,
     Load,
     Message,
@@ -154,7 +154,7 @@
 
     def tick(self, now: Millis) -> None:
         """Send a heartbeat, notice missed ones, and give up on attempts that wait too long."""
-        self.send(Beat(sent=now))
+        self.send(Heartbeat(sent=now))
         if self._lost_at is None and now - self._heard_at > MISSED_HEARTBEATS * self._heartbeat:
             self._mark_lost("heartbeats missed")
         lost_at = self._lost_at
@@ -213,7 +213,7 @@
             if attempt is not None:
                 attempt.receive(message)
             return
-        if isinstance(message, Beat):
+        if isinstance(message, Heartbeat):
             link.age(message.sent, self._clock.now())
             return
         if isinstance(message, Load):
--- a/packages/node/src/carobspool_node/upstreams/_sidecar.py
+++ b/packages/node/src/carobspool_node/upstreams/_sidecar.py
@@ -16,12 +16,12 @@
 
 from carobspool_core import (
     Attach,
-    Beat,
     Cancel,
     Clock,
     Configuration,
     End,
     Failure,
+    Heartbeat,
     Hint,
     HintKind,
     Message,
@@ -239,7 +239,7 @@
         if isinstance(message, Attach):
             self._attach(message)
             return
-        if isinstance(message, Beat):
+        if isinstance(message, Heartbeat):
             link.age(message.sent, self._clock.now())
             return
         if isinstance(message, Configuration):
@@ -365,7 +365,7 @@
         interval = self._options.heartbeat
         while not self._stopped.wait(interval / 1000.0):
             now = self._clock.now()
-            self._links.broadcast(Beat(sent=now))
+            self._links.broadcast(Heartbeat(sent=now))
             self._runs.expire(now)
             self._cancel_orphans()
 
--- a/packages/node/tests/test_entry_links.py
+++ b/packages/node/tests/test_entry_links.py
@@ -4,7 +4,7 @@
 
 from typing import Any, cast
 
-from carobspool_core import Beat, Hello, ManualClock, Message
+from carobspool_core import Heartbeat, Hello, ManualClock, Message
 from carobspool_node.links._entry_links import REATTACH_GRACE, SILENCE_LIMIT, EntryLinks
 from carobspool_node.links._link import Link
 
@@ -59,8 +59,8 @@
     send = links.sender("a")
     links.lose(first)
     links.adopt(second)
-    send(Beat(sent=1.0))
-    assert second.sent == [Beat(sent=1.0)]
+    send(Heartbeat(sent=1.0))
+    assert second.sent == [Heartbeat(sent=1.0)]
     assert first.sent == []
 
 
--- a/packages/node/tests/test_link.py
+++ b/packages/node/tests/test_link.py
@@ -9,7 +9,7 @@
 import pytest
 from websockets.sync.server import ServerConnection, serve
 
-from carobspool_core import Beat, Cancel, Message, RequestId, monotonic_clock
+from carobspool_core import Cancel, Heartbeat, Message, RequestId, monotonic_clock
 from carobspool_node.errors import HandshakeError, LinkClosedError
 from carobspool_node.links._handshake import Identity, dial, establish
 from carobspool_node.links._link import Link
@@ -100,7 +100,7 @@
         assert link is not None
         link.close()
         with pytest.raises(LinkClosedError):
-            link.send(Beat(sent=0.0))
+            link.send(Heartbeat(sent=0.0))
 
 
 def test_age_is_measured_against_the_fastest_delivery() -> None:
--- a/packages/node/tests/test_sidecar_stall.py
+++ b/packages/node/tests/test_sidecar_stall.py
@@ -21,8 +21,8 @@
 from carobspool_core import (
     AdmissionMode,
     AdmissionSettings,
-    Beat,
     End,
+    Heartbeat,
     ManualClock,
     Open,
     Outcome,
@@ -81,7 +81,7 @@
         self._link = link
         self._clock = clock
         self.ends: dict[int, End] = {}
-        link.send(Beat(sent=clock.now()))
+        link.send(Heartbeat(sent=clock.now()))
         threading.Thread(target=self._read, daemon=True).start()
 
     def open(self, counter: int, *, sent: float | None = None) -> None:
