--- a/packages/core/tests/test_membership.py
+++ b/packages/core/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership: detection of silent hosts."""
+"""Failure detector: detection of silent hosts."""
 
 from __future__ import annotations
 
--- a/packages/core/tests/test_rendezvous.py
+++ b/packages/core/tests/test_rendezvous.py
@@ -14,7 +14,7 @@
 def test_order_depends_only_on_the_set_of_nodes(
     key: str, nodes: list[str], data: st.DataObject
 ) -> None:
-    """For any order of the nodes the ranking is the same and begins with the owner."""
+    """For any order of the nodes the ranking is the same and begins with the preferred node."""
     shuffled = data.draw(st.permutations(nodes))
     order = rank_nodes(key, nodes)
     assert rank_nodes(key, shuffled) == order
