--- a/packages/core/src/carobspool_core/__init__.pyi
+++ b/packages/core/src/carobspool_core/__init__.pyi
@@ -36,9 +36,10 @@
 )
 from ._dispatch import Dispatcher, make_dispatcher
 from ._dispatch_jobs import DispatchJob
+from ._failure_detector import FailureDetector, heartbeat_interval, make_failure_detector
 from ._fairqueue import FairQueue, make_fair_queue
 from ._gossip import Gossip, make_gossip, peers_to_dial
-from ._item_retry import PREEMPTED, ItemOutcome, ItemRetry, item_retry
+from ._item_retry import PREEMPTED, ItemOutcome, ItemRetry, decide_item_retry
 from ._job_records import chunk_from_json, chunk_to_json, job_from_json, job_to_json
 from ._jobs import (
     IDEMPOTENT_METADATA_KEY,
@@ -59,16 +60,15 @@
 from ._leases import LEASE_TTL, RENEWALS_PER_TTL, LeaseObserver, NodeLease
 from ._limits import Grant, Limiter, make_limiter
 from ._load_reports import LoadReporter, make_load_reporter, report_interval
-from ._membership import Membership, heartbeat_interval, make_membership
 from ._messages import (
     PROTOCOL_VERSION,
     Attach,
-    Beat,
     Cancel,
     Configuration,
     Data,
     End,
     Head,
+    Heartbeat,
     Hello,
     Hint,
     HintKind,
@@ -108,9 +108,9 @@
     describe_differences,
     next_order,
 )
-from ._rendezvous import first, owner, rank
+from ._rendezvous import preferred_node, preferred_nodes, rank_nodes
 from ._retry import RetryPolicy, RetrySettings, make_retry_policy
-from ._route_types import Choice, RouteRequest, RoutingSettings, Target
+from ._route_types import DeclaredUpstream, RouteChoice, RouteRequest, RoutingSettings
 from ._routing import Router, make_router
 from ._shares import Demand, DemandReport, Subject, SubjectKind
 from ._spans import (
@@ -123,10 +123,10 @@
     subtract_spans,
     union_spans,
 )
-from ._subsets import Subsets, make_subsets, subset_size
+from ._subsets import SubsetAssignment, make_subset_assignment, subset_size
 from ._suspect_gate import SuspectGate, make_suspect_gate
-from ._suspect_records import SuspectChange, Verdict, VerdictKind
-from ._suspects import Suspects, make_suspects
+from ._suspect_records import SuspectUpdate, Verdict, VerdictKind
+from ._suspects import SuspectTable, make_suspect_table
 from ._tickets import FairQueueItem, QueueBounds
 from ._work import (
     AdmissionDecision,
@@ -149,11 +149,9 @@
     "AuditRecord",
     "BatchItem",
     "BatchShaping",
-    "Beat",
     "Caller",
     "CallerRole",
     "Cancel",
-    "Choice",
     "ChunkHolder",
     "ChunkRefusal",
     "ChunkState",
@@ -163,6 +161,7 @@
     "Configuration",
     "Data",
     "DeclaredEngine",
+    "DeclaredUpstream",
     "Demand",
     "DemandReport",
     "DesiredState",
@@ -176,12 +175,14 @@
     "EpochError",
     "EpochRecord",
     "Failure",
+    "FailureDetector",
     "FairQueue",
     "FairQueueItem",
     "Fence",
     "Gossip",
     "Grant",
     "Head",
+    "Heartbeat",
     "Hello",
     "Hint",
     "HintKind",
@@ -203,7 +204,6 @@
     "LoadReporter",
     "MAX_CHUNK_BYTES",
     "ManualClock",
-    "Membership",
     "Message",
     "Millis",
     "Model",
@@ -229,6 +229,7 @@
     "RetryPolicy",
     "RetrySettings",
     "Route",
+    "RouteChoice",
     "RouteRequest",
     "Router",
     "RoutingSettings",
@@ -242,11 +243,10 @@
     "StoredObject",
     "Subject",
     "SubjectKind",
-    "Subsets",
-    "SuspectChange",
+    "SubsetAssignment",
     "SuspectGate",
-    "Suspects",
-    "Target",
+    "SuspectTable",
+    "SuspectUpdate",
     "Upstream",
     "UpstreamKind",
     "UpstreamModels",
@@ -268,6 +268,7 @@
     "commit_part",
     "content_job_id",
     "count_indexes",
+    "decide_item_retry",
     "declare_intents",
     "declared_engine",
     "describe_differences",
@@ -275,35 +276,34 @@
     "epoch_from_json",
     "epoch_to_json",
     "finished_items",
-    "first",
     "heartbeat_interval",
     "invalid_request",
-    "item_retry",
     "iterate_indexes",
     "job_from_json",
     "job_to_json",
     "keyed_job_id",
     "make_admission",
     "make_dispatcher",
+    "make_failure_detector",
     "make_fair_queue",
     "make_gossip",
     "make_limiter",
     "make_load_reporter",
-    "make_membership",
     "make_retry_policy",
     "make_router",
-    "make_subsets",
+    "make_subset_assignment",
     "make_suspect_gate",
-    "make_suspects",
+    "make_suspect_table",
     "max_bytes_per_chunk",
     "max_items_per_chunk",
     "monotonic_clock",
     "next_order",
     "organisation_digest",
-    "owner",
     "peers_to_dial",
     "plan_model_loads",
-    "rank",
+    "preferred_node",
+    "preferred_nodes",
+    "rank_nodes",
     "rate_limited",
     "release_chunk",
     "report_interval",
--- a/packages/core/src/carobspool_core/_gossip.py
+++ b/packages/core/src/carobspool_core/_gossip.py
@@ -20,7 +20,7 @@
 
 from carobspool_core._clock import Clock, Millis
 from carobspool_core._messages import Hint, HintKind
-from carobspool_core._rendezvous import first, rank
+from carobspool_core._rendezvous import preferred_nodes, rank_nodes
 
 SHORTCUTS = 4
 FAN_OUT = 3
@@ -55,9 +55,9 @@
     others = [each for each in entries if each != entry]
     if not others:
         return []
-    ring = rank("ring", [*others, entry])
+    ring = rank_nodes("ring", [*others, entry])
     successor = ring[(ring.index(entry) + 1) % len(ring)]
-    shortcuts = first(entry, [each for each in others if each != successor], SHORTCUTS)
+    shortcuts = preferred_nodes(entry, [each for each in others if each != successor], SHORTCUTS)
     return [successor, *shortcuts]
 
 
@@ -111,7 +111,7 @@
         """Number of sends dropped because the budget was exhausted, one per hint and link."""
         return self._dropped
 
-    def is_new(self, hint: Hint) -> bool:
+    def record_if_new(self, hint: Hint) -> bool:
         """Return whether a hint is seen for the first time, and remember it.
 
         An origin that restarts must use a new name or continue with higher sequence numbers;
@@ -125,13 +125,13 @@
             self._seen.popitem(last=False)
         return seen.add(hint.sequence)
 
-    def links_for(
+    def choose_links(
         self, hint: Hint, links: Sequence[str], size: int, now: Millis, *, source: str | None = None
     ) -> list[str]:
         """Return the connected entries to which a new hint is forwarded, and charge the budget.
 
         Args:
-            hint: A hint for which `is_new` returned ``True``.
+            hint: A hint for which `record_if_new` returned ``True``.
             links: All connected entries.
             size: Bytes that the hint takes on one link.
             now: The current time.
--- a/packages/core/src/carobspool_core/_selection.py
+++ b/packages/core/src/carobspool_core/_selection.py
@@ -18,7 +18,7 @@
 
 from carobspool_core._messages import Priority
 from carobspool_core._pools import Pool, PooledUpstream
-from carobspool_core._rendezvous import first
+from carobspool_core._rendezvous import preferred_nodes
 from carobspool_core._route_types import RouteRequest, RoutingSettings
 
 
@@ -63,7 +63,7 @@
     best = upstreams[index]
     if count == 1:
         return best
-    for _ in range(settings.choices - 1):
+    for _ in range(settings.sample_size - 1):
         index = (index + 1 + int(rng.random() * (count - 1))) % count
         other = upstreams[index]
         if load_key(other, settings) < load_key(best, settings):
@@ -105,14 +105,14 @@
         upstreams: At least one.
     """
     by_host = {each.host: each for each in upstreams}
-    return by_host[first(prefix_key, by_host, 1)[0]]
+    return by_host[preferred_nodes(prefix_key, by_host, 1)[0]]
 
 
 def has_capacity(
     upstream: PooledUpstream, cost_tokens: int, pool: Pool, settings: RoutingSettings
 ) -> bool:
     """Return whether a preferred upstream may take another request of ``cost_tokens``."""
-    if upstream.estimate.requests < upstream.declared.slots * settings.free_share:
+    if upstream.estimate.requests < upstream.declared.slots * settings.affinity_free_share:
         return True
     # A warm cache saves part of the prompt's cost; waiting for a slot takes a whole answer.
     if settings.free_slot_first and not upstream.has_free_slot:
--- a/tools/decisions_trial.py
+++ b/tools/decisions_trial.py
@@ -16,10 +16,10 @@
     ManualClock,
     Millis,
     VerdictKind,
-    first,
     make_dispatcher,
-    make_subsets,
-    make_suspects,
+    make_subset_assignment,
+    make_suspect_table,
+    preferred_nodes,
 )
 
 FAR: Millis = 1e12
@@ -131,16 +131,18 @@
 
 
 def _by_sidecars(entries: int, sidecars: int) -> str:
-    subsets = make_subsets()
+    subsets = make_subset_assignment()
     subsets.set_members(
         [f"entry-{n}" for n in range(entries)], [f"up-{n}" for n in range(sidecars)]
     )
-    return _spread(subsets.all(), sidecars)
+    return _spread(subsets.all_subsets(), sidecars)
 
 
 def _by_entries(entries: int, sidecars: int) -> str:
     hosts = [f"up-{n}" for n in range(sidecars)]
-    return _spread({f"entry-{n}": first(f"entry-{n}", hosts, 24) for n in range(entries)}, sidecars)
+    return _spread(
+        {f"entry-{n}": preferred_nodes(f"entry-{n}", hosts, 24) for n in range(entries)}, sidecars
+    )
 
 
 def _spread(assigned: dict[str, list[str]], sidecars: int) -> str:
@@ -156,7 +158,7 @@
 def _crashes(isolate: bool, seed: int) -> int:
     """Send one crashing request 40 times through three entries; hints arrive between sends."""
     rng = Random(seed)
-    entries = [make_suspects(ManualClock()) for _ in range(3)]
+    entries = [make_suspect_table(ManualClock()) for _ in range(3)]
     down: set[int] = set()
     for n in range(40):
         entry = entries[rng.randrange(3)]
@@ -166,7 +168,7 @@
             continue
         host = rng.randrange(9)
         down.add(host)
-        for change in entry.crashed(f"up-{host}", ["f"], now, crash_id=f"{n}"):
+        for change in entry.record_crash(f"up-{host}", ["f"], now, crash_id=f"{n}"):
             for other in entries:
                 other.merge("f", change.values, now)
     return len(down)
