--- a/packages/core/src/carobspool_core/direct/_watch_duty.py
+++ b/packages/core/src/carobspool_core/direct/_watch_duty.py
@@ -13,7 +13,7 @@
 
 from msgspec import Struct
 
-from carobspool_core._rendezvous import first
+from carobspool_core._rendezvous import preferred_nodes
 
 WATCHER_COUNT = 5
 """Number of entries that watch the store. Several of them may crash, be partitioned or be refused
@@ -45,4 +45,4 @@
     eligible = [each.name for each in candidates if each.store_ok] or [
         each.name for each in candidates
     ]
-    return own.name in first(_RENDEZVOUS_KEY, eligible, WATCHER_COUNT)
+    return own.name in preferred_nodes(_RENDEZVOUS_KEY, eligible, WATCHER_COUNT)
--- a/packages/core/src/carobspool_core/revision/__init__.py
+++ b/packages/core/src/carobspool_core/revision/__init__.py
@@ -1,42 +1,41 @@
-"""Revisions of the whole desired state: parts, differences, rebase and the stored record."""
+"""Revisions of the desired state: parts, diffs, deltas, rebase and the stored record."""
 
 from carobspool_core.revision._delta import (
     Delta,
+    apply_changes,
     delta_between,
     pack_delta,
-    patch,
     root_digest,
     unpack_delta,
 )
-from carobspool_core.revision._diff import Change, Clash, diff, rebase, summarise
+from carobspool_core.revision._diff import Change, ChangeConflict, diff, rebase, summarise
 from carobspool_core.revision._parts import (
-    VALUE_LIMIT,
+    MAX_PART_VALUE_CHARS,
     Part,
     PartError,
     Parts,
     decode_part,
     encode_part,
-    join,
-    split,
+    join_parts,
+    split_state,
 )
 from carobspool_core.revision._record import (
     RecordedChange,
     Revision,
     RevisionError,
-    record_changes,
-    revision_audit,
     revision_from_json,
+    revision_to_audit_record,
     revision_to_json,
+    to_recorded_changes,
 )
-from carobspool_core.revision._sections import SHARDS, Entry, Section, part_name
+from carobspool_core.revision._sections import SHARDS, Section, StateEntry, part_name
 
 __all__ = [
+    "MAX_PART_VALUE_CHARS",
     "SHARDS",
-    "VALUE_LIMIT",
     "Change",
-    "Clash",
+    "ChangeConflict",
     "Delta",
-    "Entry",
     "Part",
     "PartError",
     "Parts",
@@ -44,21 +43,22 @@
     "Revision",
     "RevisionError",
     "Section",
+    "StateEntry",
+    "apply_changes",
     "decode_part",
     "delta_between",
     "diff",
     "encode_part",
-    "join",
+    "join_parts",
     "pack_delta",
     "part_name",
-    "patch",
     "rebase",
-    "record_changes",
-    "revision_audit",
     "revision_from_json",
+    "revision_to_audit_record",
     "revision_to_json",
     "root_digest",
-    "split",
+    "split_state",
     "summarise",
+    "to_recorded_changes",
     "unpack_delta",
 ]
--- a/packages/node/src/carobspool_node/jobs/_job_runner.py
+++ b/packages/node/src/carobspool_node/jobs/_job_runner.py
@@ -13,9 +13,9 @@
 from returns.result import Failure, Result
 
 from carobspool_core import (
+    ChunkHolder,
     ChunkStatus,
     Clock,
-    Holder,
     ItemOutcome,
     Millis,
     ObjectStore,
@@ -54,7 +54,7 @@
     def __init__(
         self,
         store: ObjectStore,
-        holder: Holder,
+        holder: ChunkHolder,
         clock: Clock,
         members: Members,
         ports: RunnerPorts,
@@ -177,7 +177,10 @@
         """Bring the known jobs up to date; stop what belongs to ended or cancelled ones."""
         jobs = {job.id: job for job in self._table.open_jobs()}
         self._works.update(
-            jobs.values(), self._members.live(), holding=self._members.holding(), now=now
+            jobs.values(),
+            self._members.available_nodes(),
+            lease_holders=self._members.lease_holders(),
+            now=now,
         )
         self._owned.stop_ended(jobs)
 
@@ -292,7 +295,7 @@
 
 def make_job_runner(
     store: ObjectStore,
-    holder: Holder,
+    holder: ChunkHolder,
     clock: Clock,
     members: Members,
     ports: RunnerPorts,
--- a/packages/node/tests/test_job_runner.py
+++ b/packages/node/tests/test_job_runner.py
@@ -15,8 +15,8 @@
     JobStatus,
     Outcome,
     broken_upstream,
+    chunk_from_json,
     keyed_job_id,
-    read_chunk,
     unavailable,
 )
 from carobspool_node.jobs._job_changes import cancel
@@ -53,7 +53,7 @@
     job = fleet.submit(200)
     until(lambda: len(fleet.holders()) == 2)
     leaving.lease.leave()
-    until(lambda: fleet.nodes["a"].members.live() == ("a",))
+    until(lambda: fleet.nodes["a"].members.available_nodes() == ("a",))
     assert leaving.runner.release_all(5_000.0) == 0
     leaving.lease.give_up()
     assert fleet.wait_for_end(job, 3.0).status is JobStatus.COMPLETED
@@ -102,7 +102,7 @@
     fleet.check_history()
     results = fleet.results(job)
     assert len(results) == ended.counts.completed + ended.counts.failed
-    states = [read_chunk(json.loads(text)) for _, (_, text) in fleet._chunks()]
+    states = [chunk_from_json(json.loads(text)) for _, (_, text) in fleet._chunks()]
     assert [state.status.value for state in states] == ["done"] * len(job.chunk_sizes)
 
 
--- a/tools/decisions_trial.py
+++ b/tools/decisions_trial.py
@@ -12,14 +12,14 @@
 from statistics import mean
 
 from carobspool_core import (
-    JobShare,
+    DispatchJob,
     ManualClock,
     Millis,
     VerdictKind,
-    first,
     make_dispatcher,
-    make_subsets,
-    make_suspects,
+    make_subset_assignment,
+    make_suspect_table,
+    preferred_nodes,
 )
 
 FAR: Millis = 1e12
@@ -54,7 +54,7 @@
         print(f"| {name} | {mean(_crashes(isolate, seed) for seed in seeds):.1f} |", flush=True)
 
 
-def _jobs(rng: Random) -> list[JobShare]:
+def _jobs(rng: Random) -> list[DispatchJob]:
     """Ten jobs of 560,000 items, 40 of about 20, 10 of 5,000 that are due in ten minutes."""
     jobs = [_job(f"a-large-{n}", "large", 560_000) for n in range(10)]
     for n in range(40):
@@ -64,20 +64,20 @@
     return jobs
 
 
-def _job(id: str, organisation: str, items: int, due: Millis = FAR) -> JobShare:
-    return JobShare(id=id, organisation=organisation, weight=1.0, due=due, items_left=items)
+def _job(id: str, organisation: str, items: int, due: Millis = FAR) -> DispatchJob:
+    return DispatchJob(id=id, organisation=organisation, weight=1.0, due_at=due, items_left=items)
 
 
-def _dispatcher(jobs: list[JobShare], *, urgency: bool = True) -> Take:
+def _dispatcher(jobs: list[DispatchJob], *, urgency: bool = True) -> Take:
     dispatcher = make_dispatcher(ManualClock())
     for job in jobs:
-        due = job.due if urgency else FAR
+        due = job.due_at if urgency else FAR
         dispatcher.add_job(_job(job.id, job.organisation, job.items_left, due))
-        dispatcher.offer(job.id, job.items_left)
-    return dispatcher.take
+        dispatcher.add_ready_items(job.id, job.items_left)
+    return dispatcher.assign_credits
 
 
-def _in_order(jobs: list[JobShare]) -> Take:
+def _in_order(jobs: list[DispatchJob]) -> Take:
     waiting = [[job.id, job.items_left] for job in jobs]
 
     def take(credits: int, now: Millis) -> list[str]:
@@ -94,11 +94,11 @@
     return take
 
 
-def _earliest_due(jobs: list[JobShare]) -> Take:
-    return _in_order(sorted(jobs, key=lambda job: job.due))
+def _earliest_due(jobs: list[DispatchJob]) -> Take:
+    return _in_order(sorted(jobs, key=lambda job: job.due_at))
 
 
-DISPATCHES: dict[str, Callable[[list[JobShare]], Take]] = {
+DISPATCHES: dict[str, Callable[[list[DispatchJob]], Take]] = {
     "weighted, urgent first": _dispatcher,
     "weighted alone": lambda jobs: _dispatcher(jobs, urgency=False),
     "order of arrival": _in_order,
@@ -106,7 +106,9 @@
 }
 
 
-def _run_dispatch(make: Callable[[list[JobShare]], Take], seed: int) -> tuple[float, float, float]:
+def _run_dispatch(
+    make: Callable[[list[DispatchJob]], Take], seed: int
+) -> tuple[float, float, float]:
     rng = Random(seed)
     jobs = _jobs(rng)
     left = {job.id: job.items_left for job in jobs}
@@ -123,22 +125,24 @@
     horizon = 900_000.0
     small = [ended.get(job.id, horizon) / 1000.0 for job in jobs if job.id.startswith("small")]
     due = [job for job in jobs if job.id.startswith("due")]
-    late = sum(ended.get(job.id, horizon) > job.due for job in due)
+    late = sum(ended.get(job.id, horizon) > job.due_at for job in due)
     large = sum(count for id, count in served.items() if id.startswith("a-large"))
     return mean(small), float(late), large / served.total()
 
 
 def _by_sidecars(entries: int, sidecars: int) -> str:
-    subsets = make_subsets()
+    subsets = make_subset_assignment()
     subsets.set_members(
         [f"entry-{n}" for n in range(entries)], [f"up-{n}" for n in range(sidecars)]
     )
-    return _spread(subsets.all(), sidecars)
+    return _spread(subsets.all_subsets(), sidecars)
 
 
 def _by_entries(entries: int, sidecars: int) -> str:
     hosts = [f"up-{n}" for n in range(sidecars)]
-    return _spread({f"entry-{n}": first(f"entry-{n}", hosts, 24) for n in range(entries)}, sidecars)
+    return _spread(
+        {f"entry-{n}": preferred_nodes(f"entry-{n}", hosts, 24) for n in range(entries)}, sidecars
+    )
 
 
 def _spread(assigned: dict[str, list[str]], sidecars: int) -> str:
@@ -154,7 +158,7 @@
 def _crashes(isolate: bool, seed: int) -> int:
     """Send one crashing request 40 times through three entries; hints arrive between sends."""
     rng = Random(seed)
-    entries = [make_suspects(ManualClock()) for _ in range(3)]
+    entries = [make_suspect_table(ManualClock()) for _ in range(3)]
     down: set[int] = set()
     for n in range(40):
         entry = entries[rng.randrange(3)]
@@ -164,7 +168,7 @@
             continue
         host = rng.randrange(9)
         down.add(host)
-        for change in entry.crashed(f"up-{host}", ["f"], now, crash_id=f"{n}"):
+        for change in entry.record_crash(f"up-{host}", ["f"], now, crash_id=f"{n}"):
             for other in entries:
                 other.merge("f", change.values, now)
     return len(down)
