--- a/packages/node/tests/_job_fleet.py
+++ b/packages/node/tests/_job_fleet.py
@@ -253,7 +253,7 @@
 
     def _chunks(self) -> list[tuple[str, tuple[int, str]]]:
         with self.objects.changed:
-            texts = list(self.objects.texts.items())
+            texts = list(self.objects.json_by_key.items())
         return [(key, found) for key, found in texts if key.startswith("chunks/")]
 
 
--- a/packages/node/tests/test_direct_retention.py
+++ b/packages/node/tests/test_direct_retention.py
@@ -55,7 +55,7 @@
         return self.retention.sweep_if_due()
 
     def stored(self) -> set[str]:
-        return set(self.objects.texts)
+        return set(self.objects.json_by_key)
 
 
 @pytest.fixture
--- a/packages/node/tests/test_job_intake.py
+++ b/packages/node/tests/test_job_intake.py
@@ -124,7 +124,7 @@
     assert (failure.status, failure.code) == (400, code)
     assert failure.message.startswith("Line 3:")
     assert text in failure.message
-    assert not [key for key in objects.texts if key.startswith(("jobs/", "inputs/", "open/"))]
+    assert not [key for key in objects.json_by_key if key.startswith(("jobs/", "inputs/", "open/"))]
 
 
 def test_limits(store: MemoryStore) -> None:
@@ -148,7 +148,7 @@
         with ThreadPoolExecutor(3) as pool:
             jobs = list(pool.map(send, stores, files))
         assert len({job.unwrap().id for job in jobs}) == 1
-    assert len([key for key in objects.texts if key.startswith("jobs/")]) == 2
+    assert len([key for key in objects.json_by_key if key.startswith("jobs/")]) == 2
 
 
 def test_key_with_other_content(objects: MemoryObjects, store: MemoryStore) -> None:
--- a/packages/node/tests/test_job_runner_faults.py
+++ b/packages/node/tests/test_job_runner_faults.py
@@ -91,7 +91,7 @@
     Each is met by the threads that serve all jobs; an exception there would end the work on all.
     """
     spoilt = fleet.submit(50, key="spoilt")
-    version = fleet.objects.texts[f"inputs/{spoilt.input_id}/000000"][0]
+    version = fleet.objects.json_by_key[f"inputs/{spoilt.input_id}/000000"][0]
     fleet.client.update(f"inputs/{spoilt.input_id}/000000", {"packed": "!"}, version=version)
     for key in ("open/x", "open/y", "nodes/x", "jobs/x"):
         fleet.client.create(key, {"damaged": True}).unwrap()
--- a/packages/standins/src/carobspool_standins/_openai_calls.py
+++ b/packages/standins/src/carobspool_standins/_openai_calls.py
@@ -17,7 +17,7 @@
 CHAT_PATH = "/v1/chat/completions"
 DATA_PREFIX = b"data: "
 DONE_DATA = b"[DONE]"
-BATCH_ENDINGS = ("completed", "failed", "cancelled", "expired")
+TERMINAL_BATCH_STATES = ("completed", "failed", "cancelled", "expired")
 
 
 class CallFailed(StandinError):
--- a/packages/standins/src/carobspool_standins/memory_store.py
+++ b/packages/standins/src/carobspool_standins/memory_store.py
@@ -72,14 +72,14 @@
     Attributes:
         revision: Revision of the latest write.
         floor: Oldest revision from which a watch can start.
-        texts: Version and JSON text of each object, by key.
+        json_by_key: Version and JSON text of each object, by key.
         history: All writes that took effect, in order.
         changed: Lock of the state; notified after each write.
     """
 
     revision: int = 0
     floor: int = 0
-    texts: dict[str, tuple[int, str]] = field(default_factory=dict)
+    json_by_key: dict[str, tuple[int, str]] = field(default_factory=dict)
     history: list[WriteRecord] = field(default_factory=list)
     changed: threading.Condition = field(default_factory=threading.Condition)
 
@@ -92,7 +92,7 @@
     def value(self, key: str) -> Json:
         """Return the value of a key, or ``None`` if it does not exist."""
         with self.changed:
-            found = self.texts.get(key)
+            found = self.json_by_key.get(key)
         return None if found is None else json.loads(found[1])
 
 
@@ -135,7 +135,7 @@
         with self._begin_call("get"):
             if self.outage:
                 return _failure(StoreFault.UNAVAILABLE, key)
-            found = self._objects.texts.get(key)
+            found = self._objects.json_by_key.get(key)
             if found is None:
                 return _failure(StoreFault.NOT_FOUND, key)
             return Success(_stored_object(key, found))
@@ -147,9 +147,9 @@
         with self._begin_call("list"):
             if self.outage:
                 return _failure(StoreFault.UNAVAILABLE, prefix)
-            keys = sorted(key for key in self._objects.texts if key.startswith(prefix))
+            keys = sorted(key for key in self._objects.json_by_key if key.startswith(prefix))
             keys = keys[bisect_right(keys, after) :]
-            objects = [_stored_object(key, self._objects.texts[key]) for key in keys[:limit]]
+            objects = [_stored_object(key, self._objects.json_by_key[key]) for key in keys[:limit]]
             revision = self._objects.revision
             return Success(ObjectPage(revision=revision, objects=objects, more=len(keys) > limit))
 
@@ -169,12 +169,12 @@
                 return _failure(StoreFault.UNAVAILABLE, key)
             if fault is FaultKind.UNKNOWN_BEFORE:
                 return _failure(StoreFault.UNKNOWN, key)
-            found = self._objects.texts.get(key)
+            found = self._objects.json_by_key.get(key)
             if found is None:
                 return _failure(StoreFault.NOT_FOUND, key)
             if found[0] != version:
                 return Failure(self._conflict_failure(key))
-            del self._objects.texts[key]
+            del self._objects.json_by_key[key]
             self._append_history(key, None, deleted=True)
             if fault is FaultKind.UNKNOWN_AFTER:
                 return _failure(StoreFault.UNKNOWN, key)
@@ -226,14 +226,14 @@
                 return _failure(StoreFault.UNKNOWN, key)
             if len(text) > MAX_VALUE_BYTES:
                 return _failure(StoreFault.TOO_LARGE, key)
-            found = self._objects.texts.get(key)
+            found = self._objects.json_by_key.get(key)
             if (found[0] if found else 0) != version:
                 return Failure(self._conflict_failure(key))
-            self._objects.texts[key] = (self._objects.revision + 1, text)
+            self._objects.json_by_key[key] = (self._objects.revision + 1, text)
             self._append_history(key, json.loads(text), deleted=False)
             if fault is FaultKind.UNKNOWN_AFTER:
                 return _failure(StoreFault.UNKNOWN, key)
-            return Success(_stored_object(key, self._objects.texts[key]))
+            return Success(_stored_object(key, self._objects.json_by_key[key]))
 
     def _append_history(self, key: str, value: Json, *, deleted: bool) -> None:
         objects = self._objects
@@ -257,7 +257,7 @@
         return None
 
     def _conflict_failure(self, key: str) -> StoreFailure:
-        found = self._objects.texts.get(key)
+        found = self._objects.json_by_key.get(key)
         current = None if found is None else _stored_object(key, found)
         return StoreFailure(fault=StoreFault.CONFLICT, key=key, current=current)
 
--- a/packages/standins/src/carobspool_standins/platform_server.py
+++ b/packages/standins/src/carobspool_standins/platform_server.py
@@ -4,7 +4,7 @@
 reproduce late second responses, cut streams and bytes that are not valid HTTP exactly.
 
 A server can restart with the same id and address: after a crash, which resets its connections, or
-after it was cut off, which leaves its connections open but silent.
+after it was isolated, which leaves its connections open but silent.
 """
 
 from __future__ import annotations
@@ -51,32 +51,32 @@
         """Send raw bytes; errors of a closed connection are ignored."""
         self._start.send(self._socket, data)
 
-    def answer(
+    def send_response(
         self, request: ServedRequest, status: int = 200, body: bytes = b"ok", extra: str = ""
     ) -> None:
         """Send a complete signed response."""
-        self.send(answer_bytes(request.request_id, status, body, extra))
+        self.send(signed_response_bytes(request.request_id, status, body, extra))
 
-    def not_run(self, request: ServedRequest, status: int = 503) -> None:
+    def send_not_executed(self, request: ServedRequest, status: int = 503) -> None:
         """Send a response that says that the request was not executed."""
         head = f"HTTP/1.1 {status} No\r\nNot-Executed: 1\r\nRequest-Id: {request.request_id}\r\n"
         self.send(head.encode() + b"Content-Length: 0\r\n\r\n")
 
-    def start_events(self, request: ServedRequest) -> None:
+    def send_stream_headers(self, request: ServedRequest) -> None:
         """Send the headers of a signed event stream."""
         head = f"HTTP/1.1 200 OK\r\nRequest-Id: {request.request_id}\r\nServer-Stamp: s\r\n"
         self.send(head.encode() + b"Content-Type: text/event-stream\r\n")
         self.send(b"Transfer-Encoding: chunked\r\n\r\n")
 
-    def event(self, number: int, data: str = "") -> None:
+    def send_event(self, number: int, data: str = "") -> None:
         """Send a complete event as one chunk."""
-        self.chunk(f"id: {number}\ndata: {data or f'piece {number}'}\n\n".encode())
+        self.send_chunk(f"id: {number}\ndata: {data or f'piece {number}'}\n\n".encode())
 
-    def chunk(self, data: bytes) -> None:
+    def send_chunk(self, data: bytes) -> None:
         """Send a chunk of a chunked body."""
         self.send(b"%x\r\n%b\r\n" % (len(data), data))
 
-    def end_events(self) -> None:
+    def end_stream(self) -> None:
         """Send the last chunk, which marks the stream as complete."""
         self.send(b"0\r\n\r\n")
 
@@ -94,7 +94,7 @@
         self.closed = True
         self._socket.close()
 
-    def peer_left(self, within_s: float) -> bool:
+    def wait_for_peer_close(self, within_s: float) -> bool:
         """Wait for the peer to close the connection, and return whether it did."""
         self._socket.settimeout(within_s)
         try:
@@ -105,26 +105,26 @@
             return True
 
 
-Behaviour = Callable[[ServedRequest, ServerConnection], None]
+RequestHandler = Callable[[ServedRequest, ServerConnection], None]
 
 
-def answer_bytes(request_id: str, status: int, body: bytes, extra: str = "") -> bytes:
+def signed_response_bytes(request_id: str, status: int, body: bytes, extra: str = "") -> bytes:
     """Return the bytes of a complete signed response."""
     head = f"HTTP/1.1 {status} Done\r\nRequest-Id: {request_id}\r\nServer-Stamp: s\r\n{extra}"
     return head.encode() + b"Content-Length: %d\r\n\r\n" % len(body) + body
 
 
-def stream_events(count: int, *, pause_s: float = 0.0) -> Behaviour:
+def event_stream_handler(count: int, *, pause_s: float = 0.0) -> RequestHandler:
     """Return a handler that streams numbered events, starting after ``Last-Event-Id``."""
 
-    def behave(request: ServedRequest, connection: ServerConnection) -> None:
-        connection.start_events(request)
+    def handle_request(request: ServedRequest, connection: ServerConnection) -> None:
+        connection.send_stream_headers(request)
         for number in range(int(request.headers.get("last-event-id", "0")) + 1, count + 1):
             time.sleep(pause_s)
-            connection.event(number)
-        connection.end_events()
+            connection.send_event(number)
+        connection.end_stream()
 
-    return behave
+    return handle_request
 
 
 @dataclass(slots=True)
@@ -135,20 +135,20 @@
         instance: Id of the server.
         address: Address that callers connect to. The server listens on it, unless a test puts a
             relay in between.
-        behave: Function that handles a request.
+        handle_request: Function that handles a request.
         started: Unix milliseconds of the latest start; 0 if the server does not publish it.
-        seen: Requests of all starts, in order of arrival.
+        requests: Requests of all starts, in order of arrival.
         connections: Number of connections accepted over all starts.
     """
 
     instance: str
     address: tuple[str, int]
-    behave: Behaviour
+    handle_request: RequestHandler
     started: int
-    seen: list[ServedRequest] = field(default_factory=list)
+    requests: list[ServedRequest] = field(default_factory=list)
     connections: int = 0
     _start: ServerStart | None = None
-    _cut_off_starts: list[ServerStart] = field(default_factory=list)
+    _isolated_starts: list[ServerStart] = field(default_factory=list)
 
     def registration(self, service: str, *, state: str = "ready", zone: str = "z1") -> object:
         """Return the server's entry in the list of servers."""
@@ -167,7 +167,7 @@
         return entry
 
     def start(self) -> None:
-        """Start listening; after a crash or `cut_off`, restart with the same id and address."""
+        """Start listening; after a crash or `isolate`, restart with the same id and address."""
         if self._start is None:
             self._start = ServerStart(self.started, self.address)
             self.address = self._start.address
@@ -184,18 +184,18 @@
         start.stop_listening()
         start.reset_all()
 
-    def cut_off(self) -> None:
+    def isolate(self) -> None:
         """Go silent on all connections and accept no new ones; open ones stay open."""
         start = self._current_start()
         start.hold_output()
         start.stop_listening()
-        self._cut_off_starts.append(start)
+        self._isolated_starts.append(start)
 
-    def deliver_late(self) -> None:
-        """Send the output that was held since the server was cut off."""
-        for start in self._cut_off_starts:
+    def deliver_held_output(self) -> None:
+        """Send the output that was held since the server was isolated."""
+        for start in self._isolated_starts:
             start.release_output()
-        self._cut_off_starts.clear()
+        self._isolated_starts.clear()
 
     def close(self) -> None:
         """Stop listening."""
@@ -208,17 +208,17 @@
 
 @contextmanager
 def serve_platform_server(
-    instance: str, behave: Behaviour, *, started: int | None = None
+    instance: str, handle_request: RequestHandler, *, started: int | None = None
 ) -> Iterator[PlatformServer]:
     """Run a server on loopback.
 
     Args:
         instance: Id of the server.
-        behave: Function that handles a request.
+        handle_request: Function that handles a request.
         started: Unix milliseconds of the first start; now by default, 0 to publish none.
     """
     first_start = int(time.time() * 1000) if started is None else started
-    server = PlatformServer(instance, ("127.0.0.1", 0), behave, first_start)
+    server = PlatformServer(instance, ("127.0.0.1", 0), handle_request, first_start)
     server.start()
     try:
         yield server
@@ -246,12 +246,12 @@
         if request is None:
             sock.close()
             return
-        server.seen.append(request)
+        server.requests.append(request)
         connection = ServerConnection(sock, start)
         if request.headers.get("expect-instance", server.instance) != server.instance:
-            connection.not_run(request, 421)
+            connection.send_not_executed(request, 421)
         else:
-            server.behave(request, connection)
+            server.handle_request(request, connection)
         if connection.closed:
             return
         trailing = http.trailing_data[0]
--- a/packages/standins/src/carobspool_standins/platform_store.py
+++ b/packages/standins/src/carobspool_standins/platform_store.py
@@ -41,16 +41,18 @@
 
     Attributes:
         status: Status of every response; 0 for none.
-        lose_answers: Number of further writes whose connection is reset after they took effect.
-        cut_before: Number of further writes whose connection is reset before they take effect.
-        deaf: Whether watches receive no events; waiting watches stay open.
+        resets_after_write: Number of further writes whose connection is reset after they took
+            effect.
+        resets_before_write: Number of further writes whose connection is reset before they take
+            effect.
+        suppress_watch_events: Whether watches receive no events; waiting watches stay open.
         delay_s: Delay before each call is processed, as in a slow store.
     """
 
     status: int = 0
-    lose_answers: int = 0
-    cut_before: int = 0
-    deaf: bool = False
+    resets_after_write: int = 0
+    resets_before_write: int = 0
+    suppress_watch_events: bool = False
     delay_s: float = 0.0
 
 
@@ -86,7 +88,7 @@
                 return int(current["metadata"]["revision"])
             return self._store_object(kind, name, current, {"spec": spec})
 
-    def put_bytes(self, kind: str, name: str, spec: bytes) -> None:
+    def put_raw_spec(self, kind: str, name: str, spec: bytes) -> None:
         """Write an object whose spec is returned as these bytes, even if they are not JSON."""
         placeholder = f"foreign {len(self.raw_specs)}"
         self.raw_specs[placeholder] = spec
@@ -217,15 +219,15 @@
         objects.calls[name] = objects.calls.get(name, 0) + 1
         if faults.status:
             return json_response({"error": "refused"}, faults.status)
-        if request.method != "GET" and faults.cut_before > 0:
-            faults.cut_before -= 1
+        if request.method != "GET" and faults.resets_before_write > 0:
+            faults.resets_before_write -= 1
             raise abort_connection(request)
     return None
 
 
 def _write_response(objects: PlatformObjects, request: Request, kind: str, name: str) -> Response:
-    if objects.faults.lose_answers > 0:
-        objects.faults.lose_answers -= 1
+    if objects.faults.resets_after_write > 0:
+        objects.faults.resets_after_write -= 1
         raise abort_connection(request)
     return objects.answer(objects.objects[(kind, name)])
 
@@ -298,7 +300,7 @@
             events = [
                 {"object": stored, "deleted": deleted}
                 for revision, stored_kind, stored, deleted in objects.history
-                if stored_kind == kind and revision > since and not faults.deaf
+                if stored_kind == kind and revision > since and not faults.suppress_watch_events
             ]
             remaining_s = deadline - time.monotonic()
             if events or remaining_s <= 0:
--- a/packages/standins/src/carobspool_standins/quickstart.py
+++ b/packages/standins/src/carobspool_standins/quickstart.py
@@ -20,7 +20,7 @@
 from carobspool_standins._cluster import Cluster
 from carobspool_standins._member import Key
 from carobspool_standins._openai_calls import (
-    BATCH_ENDINGS,
+    TERMINAL_BATCH_STATES,
     create_batch,
     read_batch,
     read_results,
@@ -188,7 +188,7 @@
     job = create_batch(submitter, upload(submitter, NOTES_FILE, content))
     tour.cluster.wait_until(
         "the batch job ends",
-        lambda: read_batch(reader, job)["status"] in BATCH_ENDINGS,
+        lambda: read_batch(reader, job)["status"] in TERMINAL_BATCH_STATES,
         BATCH_TIMEOUT_S,
     )
     seconds = time.monotonic() - start
--- a/tests/adapter/test_platform_store.py
+++ b/tests/adapter/test_platform_store.py
@@ -66,7 +66,7 @@
     sent again, it would conflict with itself and look like somebody else's."""
     objects, store = served
     version = store.create("jobs/b", 0).unwrap().version
-    objects.faults.lose_answers = 1
+    objects.faults.resets_after_write = 1
     if operation == "create":
         assert isinstance(store.create("jobs/a", {"x": 1}), Success)
         assert objects.spec("jobs", "a") == {"x": 1}
@@ -82,7 +82,7 @@
     'written' nor 'not written' would be true."""
     objects, store = served
     monkeypatch.setattr("carobspool_platform._store.SETTLE_TIME", 300.0)
-    objects.faults.cut_before = 1
+    objects.faults.resets_before_write = 1
     assert _fault(store.create("jobs/a", 1)) is StoreFault.UNKNOWN
 
 
--- a/tests/adapter/test_unreadable_objects.py
+++ b/tests/adapter/test_unreadable_objects.py
@@ -43,7 +43,7 @@
     for fault, data in UNREADABLE.items():
         since = objects.revision
         objects.put("servers", "a", {"n": 1, "fault": fault})
-        objects.put_bytes("servers", "b", data)
+        objects.put_raw_spec("servers", "b", data)
         objects.put("servers", "c", {"n": 2, "fault": fault})
         page = store.list("servers/")
         assert is_successful(page), fault
@@ -66,7 +66,7 @@
     """It is there, so neither `not found` nor a store that is away would be true."""
     objects, store = served
     for fault, data in UNREADABLE.items():
-        objects.put_bytes("jobs", "b", data)
+        objects.put_raw_spec("jobs", "b", data)
         read = store.get("jobs/b")
         assert is_successful(read), fault
         assert read.unwrap().value is None, fault
@@ -75,7 +75,7 @@
 def test_a_watch_that_waits_hears_of_good_ones_beside_an_unreadable_one(served: Served) -> None:
     objects, store = served
     since = objects.revision
-    objects.put_bytes("servers", "b", b"{bad")
+    objects.put_raw_spec("servers", "b", b"{bad")
     threading.Timer(0.1, objects.put, ("servers", "c", {"n": 2})).start()
     first = store.watch("servers/", revision=since, timeout=5_000).unwrap()
     second = store.watch("servers/", revision=first.revision, timeout=5_000).unwrap()
--- a/tests/direct/test_entry_exit.py
+++ b/tests/direct/test_entry_exit.py
@@ -20,7 +20,7 @@
 import pytest
 from direct_harness import Answer, Deployment, Entry, deployment, eventually, job_body, route
 
-from carobspool_standins.platform_server import stream_events
+from carobspool_standins.platform_server import event_stream_handler
 
 SMALL_PIPE = 4096
 DRAINED_S = 2.8
@@ -87,7 +87,7 @@
     its last log lines takes a second. Requests that arrive in that second must be refused as not
     run, or answered with the whole stream. The entry used to forward these streams and cut them
     when the last line was written."""
-    server = system.start_server("engine", stream_events(10, pause_s=0.1))
+    server = system.start_server("engine", event_stream_handler(10, pause_s=0.1))
     pipe = _UnreadPipe()
     entry = system.start_entry("e1", output=pipe.writer)
     assert entry.call("POST", "/stream/x", body=b"b").complete
@@ -107,14 +107,14 @@
         caller.join(timeout=8)
     assert entry.process.wait(timeout=6) == 0
     assert all(each.complete for each in found.values())
-    passed_on = {each.request_id for each in server.seen if each.request_id.startswith("late")}
+    passed_on = {each.request_id for each in server.requests if each.request_id.startswith("late")}
     assert passed_on == {each for each, answer in found.items() if answer.status == 200}
 
 
 def test_an_entry_whose_output_nobody_reads_exits_in_its_time(system: Deployment) -> None:
     """The reader of the entry's output has stopped for good. The entry must still exit before it is
     killed. It used to wait until its last lines were written, and accepted requests meanwhile."""
-    system.start_server("engine", stream_events(2))
+    system.start_server("engine", event_stream_handler(2))
     pipe = _UnreadPipe()
     entry = system.start_entry("e1", output=pipe.writer)
     pipe.fill()
@@ -126,7 +126,7 @@
     """The store is slow while an entry shuts down, and jobs are submitted shortly before its exit.
     Each caller must receive an answer before the process exits, or an immediate refusal. The
     connection used to break, and the caller could not know whether its job was accepted."""
-    system.start_server("engine", stream_events(30, pause_s=0.2))
+    system.start_server("engine", event_stream_handler(30, pause_s=0.2))
     long = route("/stream/", "streaming", "engine", max_attempts=1, timeout_ms=9_000)
     system.write_configuration(2, long, route("/batch/", "batch", "engine", retention_s=60))
     entry = system.start_entry("e1")
--- a/tests/direct/test_foreign_records.py
+++ b/tests/direct/test_foreign_records.py
@@ -18,7 +18,7 @@
     PlatformServer,
     ServedRequest,
     ServerConnection,
-    stream_events,
+    event_stream_handler,
 )
 
 CALLS = 12
@@ -50,7 +50,7 @@
 
 
 def _answer(request: ServedRequest, connection: ServerConnection) -> None:
-    connection.answer(request)
+    connection.send_response(request)
 
 
 def _register(system: Deployment, server: PlatformServer, **changes: Any) -> None:
@@ -61,10 +61,10 @@
 
 def _calls_at(entry: Entry, server: PlatformServer) -> int:
     """Make `CALLS` calls, which must all be answered; return how many reached a server."""
-    before = len(server.seen)
+    before = len(server.requests)
     for _ in range(CALLS):
         assert entry.call("GET", "/safe/x").status == 200
-    return len(server.seen) - before
+    return len(server.requests) - before
 
 
 def test_invalid_registration_removes_its_upstream_until_it_is_valid_again(
@@ -82,7 +82,7 @@
         _register(system, server, **fault)
         time.sleep(DETECTION_TIME_S)
         assert _calls_at(entry, server) == 0, fault
-    assert all(other.seen for other in others)
+    assert all(other.requests for other in others)
     bad = entry.log_lines_containing("event=bad_registration")
     assert len(bad) == len(FAULTS)
     assert all(f"upstream={server.instance}" in line for line in bad)
@@ -154,7 +154,7 @@
     """Two entries run a job each. Other writers register entries with invalid addresses and send
     invalid hints and calls. Calls must be refused with 400, and the entries must still receive each
     other's hints: an entry without hints counts as dead, and its job runs again elsewhere."""
-    system.start_server("engine", stream_events(10, pause_s=0.5))
+    system.start_server("engine", event_stream_handler(10, pause_s=0.5))
     entries = [system.start_entry("e1"), system.start_entry("e2")]
     time.sleep(1.0)
     for entry in entries:
@@ -221,7 +221,7 @@
     added_mb = _peak_mb(entry) - before_mb
     lines = len(entry.log_lines_containing("registration"))
     print(f"figures: cpu {share:.3f} of a core, memory +{added_mb:.1f} MB, lines {lines}")
-    assert all(server.seen for server in servers)
+    assert all(server.requests for server in servers)
     assert share < CPU_SHARE
     assert added_mb < MEMORY_MB
     assert lines < 400
--- a/tests/direct/test_job_ends.py
+++ b/tests/direct/test_job_ends.py
@@ -42,10 +42,10 @@
         self.arrivals: list[float] = []
         self._lock = threading.Lock()
 
-    def behave(self, request: ServedRequest, connection: ServerConnection) -> None:
+    def handle_request(self, request: ServedRequest, connection: ServerConnection) -> None:
         with self._lock:
             self.arrivals.append(time.monotonic())
-        connection.not_run(request)
+        connection.send_not_executed(request)
 
     def arrivals_after(self, moment: float) -> int:
         """Return how many items arrived after a time."""
@@ -55,7 +55,7 @@
 
 def _start_entries_with_job(system: Deployment, engine: _RefusingEngine) -> tuple[Entry, Entry]:
     """Start two entries that know each other; the first owns a job that makes no progress."""
-    system.start_server("engine", engine.behave)
+    system.start_server("engine", engine.handle_request)
     owner, other = system.start_entry("e1"), system.start_entry("e2")
     eventually(lambda: other.log_lines_containing("event=peer_seen peer=e1"), 3)
     time.sleep(5.0)
--- a/tests/direct/test_jobs.py
+++ b/tests/direct/test_jobs.py
@@ -24,7 +24,7 @@
 from carobspool_standins.platform_server import (
     ServedRequest,
     ServerConnection,
-    stream_events,
+    event_stream_handler,
 )
 
 EVENTS = 4
@@ -56,7 +56,7 @@
 
 
 def test_job_is_accepted_once_and_readable_at_every_entry(system: Deployment) -> None:
-    system.start_server("engine", stream_events(EVENTS))
+    system.start_server("engine", event_stream_handler(EVENTS))
     first, second = system.start_entry("e1"), system.start_entry("e2")
     ids = [f"i{number}" for number in range(12)]
     for entry in (first, second, first):
@@ -78,7 +78,7 @@
     """The owner is killed, terminated or frozen after it has committed some results. The other
     entry continues the job: results that were read keep their positions, none is listed twice, and
     a frozen owner that resumes changes nothing."""
-    system.start_server("engine", stream_events(EVENTS, pause_s=0.25))
+    system.start_server("engine", event_stream_handler(EVENTS, pause_s=0.25))
     owner, other = system.start_entry("e1"), system.start_entry("e2")
     time.sleep(2.6)
     ids = [f"i{number}" for number in range(20)]
@@ -105,7 +105,7 @@
 ) -> None:
     """The owner is killed while the store refuses every call, so that the first attempt to take its
     job over fails. The job must still continue soon after the outage."""
-    system.start_server("engine", stream_events(EVENTS, pause_s=0.4))
+    system.start_server("engine", event_stream_handler(EVENTS, pause_s=0.4))
     owner, other = system.start_entry("e1"), system.start_entry("e2")
     time.sleep(2.6)
     ids = [f"i{number}" for number in range(8)]
@@ -126,7 +126,7 @@
     assert entries[0].call("POST", "/batch/j", body=body, request_id="j").status == 202
     for entry in entries:
         entry.send_signal(signal.SIGKILL)
-    system.start_server("engine", stream_events(EVENTS))
+    system.start_server("engine", event_stream_handler(EVENTS))
     fresh = [system.start_entry(name, first_start=False) for name in ("e1", "e2")]
     _assert_complete(eventually(lambda: all_results(fresh[1], "j"), 12), ["a", "b"])
 
@@ -139,7 +139,7 @@
     assert owner.call("POST", "/batch/j", body=job_body("a"), request_id="j").status == 202
     owner.send_signal(signal.SIGKILL)
     owner.process.wait()
-    system.start_server("engine", stream_events(EVENTS))
+    system.start_server("engine", event_stream_handler(EVENTS))
     entry, other = system.start_entry("e2"), system.start_entry("e3")
     eventually(lambda: entry.log_lines_containing("event=peer_seen peer=e3"), 5)
     other.send_signal(signal.SIGKILL)
@@ -150,7 +150,7 @@
     """The owner is killed when an item of four seconds has run for three and its job has no result
     yet. The same host starts again at once. The item resumes after its committed events instead of
     from its beginning, and without waiting until the entries know each other."""
-    server = system.start_server("engine", stream_events(40, pause_s=0.1))
+    server = system.start_server("engine", event_stream_handler(40, pause_s=0.1))
     first = system.start_entry("e1")
     assert first.call("POST", "/batch/j", body=job_body("a"), request_id="j").status == 202
     eventually(lambda: first.log_lines_containing("event=job_commit"), 6)
@@ -158,7 +158,7 @@
     again = system.start_entry("e1", first_start=False)
     results = eventually(lambda: all_results(again, "j"), 4)
     assert results[0]["text"].split("\n") == [f"piece {number}" for number in range(1, 41)]
-    resumed = [int(each.headers.get("last-event-id", "0")) for each in server.seen]
+    resumed = [int(each.headers.get("last-event-id", "0")) for each in server.requests]
     assert len(resumed) == 2
     assert resumed[1] >= 15
 
@@ -166,7 +166,7 @@
 def test_owner_that_shuts_down_hands_over_the_events_of_its_items(system: Deployment) -> None:
     """The owner receives SIGTERM in the middle of an item. Another entry resumes the item after its
     last event; the whole item used to run again."""
-    server = system.start_server("engine", stream_events(30, pause_s=0.1))
+    server = system.start_server("engine", event_stream_handler(30, pause_s=0.1))
     first, other = system.start_entry("e1"), system.start_entry("e2")
     time.sleep(1.0)
     assert first.call("POST", "/batch/j", body=job_body("a"), request_id="j").status == 202
@@ -174,7 +174,7 @@
     first.send_signal(signal.SIGTERM)
     results = eventually(lambda: all_results(other, "j"), 6)
     assert results[0]["text"].split("\n") == [f"piece {number}" for number in range(1, 31)]
-    resumed = [int(each.headers.get("last-event-id", "0")) for each in server.seen]
+    resumed = [int(each.headers.get("last-event-id", "0")) for each in server.requests]
     assert len(resumed) == 2
     assert resumed[1] >= 10
 
@@ -184,16 +184,16 @@
     often as its route allows, the second once. Both end as dead letters; the third completes."""
     runs: Counter[str] = Counter()
 
-    def behave(request: ServedRequest, connection: ServerConnection) -> None:
+    def handle_request(request: ServedRequest, connection: ServerConnection) -> None:
         runs[request.request_id] += 1
         if request.request_id == "bad":
-            connection.answer(request, 500, b"no")
+            connection.send_response(request, 500, b"no")
         elif request.request_id == "never":
-            connection.answer(request, 422, b"no")
+            connection.send_response(request, 422, b"no")
         else:
-            stream_events(EVENTS)(request, connection)
+            event_stream_handler(EVENTS)(request, connection)
 
-    system.start_server("engine", behave)
+    system.start_server("engine", handle_request)
     entry = system.start_entry("e1")
     body = job_body("bad", "never", "good")
     assert entry.call("POST", "/batch/j", body=body, request_id="j").status == 202
@@ -205,24 +205,24 @@
 
 def test_ended_job_starts_no_further_items(system: Deployment) -> None:
     """The job is ended through an entry that does not own it, while its items run."""
-    server = system.start_server("engine", stream_events(EVENTS, pause_s=0.5))
+    server = system.start_server("engine", event_stream_handler(EVENTS, pause_s=0.5))
     owner, other = system.start_entry("e1"), system.start_entry("e2")
     ids = [f"i{number}" for number in range(30)]
     assert owner.call("POST", "/batch/j", body=job_body(*ids), request_id="j").status == 202
-    eventually(lambda: server.seen, 3)
+    eventually(lambda: server.requests, 3)
     time.sleep(0.7)
     assert other.call("DELETE", "/api/lots/j").status == 200
-    started = len(server.seen)
+    started = len(server.requests)
     time.sleep(1.5)
-    assert len(server.seen) == started
+    assert len(server.requests) == started
     assert other.call("DELETE", "/api/lots/j").status == 200
     assert owner.call("POST", "/batch/j", body=job_body(*ids), request_id="j").status == 202
 
 
 def test_job_is_accepted_once_when_the_answer_of_the_store_is_lost(system: Deployment) -> None:
-    system.start_server("engine", stream_events(EVENTS))
+    system.start_server("engine", event_stream_handler(EVENTS))
     entry = system.start_entry("e1")
-    system.objects.faults.lose_answers = 1
+    system.objects.faults.resets_after_write = 1
     assert entry.call("POST", "/batch/j", body=job_body("a"), request_id="j").status == 202
     _assert_complete(eventually(lambda: all_results(entry, "j"), 10), ["a"])
 
@@ -232,7 +232,7 @@
 ) -> None:
     """The store refuses every call for some seconds. A job refused meanwhile never runs. The job
     accepted before keeps running, and its results are readable after the outage."""
-    server = system.start_server("engine", stream_events(EVENTS, pause_s=0.1))
+    server = system.start_server("engine", event_stream_handler(EVENTS, pause_s=0.1))
     entry = system.start_entry("e1")
     assert entry.call("POST", "/batch/j", body=job_body("a", "b"), request_id="j").status == 202
     system.objects.faults.status = 503
@@ -245,7 +245,7 @@
     time.sleep(1.5)
     system.objects.faults.status = 0
     _assert_complete(eventually(lambda: all_results(entry, "j"), 5), ["a", "b"])
-    assert "c" not in {each.request_id for each in server.seen}
+    assert "c" not in {each.request_id for each in server.requests}
 
 
 def test_job_larger_than_one_object_is_stored_in_pieces(system: Deployment) -> None:
@@ -253,13 +253,13 @@
     the loss of its owner, and its results and bodies are complete."""
     words = "y" * 60_000
 
-    def behave(request: ServedRequest, connection: ServerConnection) -> None:
-        connection.start_events(request)
+    def handle_request(request: ServedRequest, connection: ServerConnection) -> None:
+        connection.send_stream_headers(request)
         for number in range(int(request.headers.get("last-event-id", "0")) + 1, 4):
-            connection.event(number, words)
-        connection.end_events()
+            connection.send_event(number, words)
+        connection.end_stream()
 
-    system.start_server("engine", behave)
+    system.start_server("engine", handle_request)
     owner, other = system.start_entry("e1"), system.start_entry("e2")
     time.sleep(2.6)
     ids = [f"i{number}" for number in range(12)]
@@ -281,7 +281,7 @@
 
 
 def test_job_over_the_waiting_quota_is_refused(system: Deployment) -> None:
-    system.start_server("engine", stream_events(EVENTS, pause_s=2.0))
+    system.start_server("engine", event_stream_handler(EVENTS, pause_s=2.0))
     entry = system.start_entry("e1")
     big = job_body("a", "b", tokens=40_000)
     assert entry.call("POST", "/batch/j", body=big, request_id="j").status == 202
@@ -294,11 +294,11 @@
 def test_online_requests_preempt_batch_items_which_resume(system: Deployment) -> None:
     """Batch items fill the only engine up to its reserve. An online request is served without
     waiting for an item to finish, and preempted items resume after their last event."""
-    server = system.start_server("engine", stream_events(20, pause_s=0.1))
+    server = system.start_server("engine", event_stream_handler(20, pause_s=0.1))
     entry = system.start_entry("e1")
     ids = [f"i{number}" for number in range(7)]
     assert entry.call("POST", "/batch/j", body=job_body(*ids), request_id="j").status == 202
-    eventually(lambda: len(server.seen) >= 7, 3)
+    eventually(lambda: len(server.requests) >= 7, 3)
     time.sleep(0.5)
     began = time.monotonic()
     assert entry.call("POST", "/stream/a", body=b"x", timeout=5).complete
--- a/tests/direct/test_membership.py
+++ b/tests/direct/test_membership.py
@@ -21,7 +21,11 @@
     route,
 )
 
-from carobspool_standins.platform_server import ServedRequest, ServerConnection, stream_events
+from carobspool_standins.platform_server import (
+    ServedRequest,
+    ServerConnection,
+    event_stream_handler,
+)
 
 
 @pytest.fixture
@@ -32,7 +36,7 @@
 
 
 def _answer(request: ServedRequest, connection: ServerConnection) -> None:
-    connection.answer(request)
+    connection.send_response(request)
 
 
 def test_changes_take_effect_although_every_watch_misses_them(system: Deployment) -> None:
@@ -41,18 +45,18 @@
     removed = system.start_server("plain", _answer)
     system.start_server("plain", _answer)
     entries = [system.start_entry("e1"), system.start_entry("e2")]
-    system.objects.faults.deaf = True
+    system.objects.faults.suppress_watch_events = True
     system.write_configuration(2, *STANDARD_ROUTES, route("/new/", "safe", "plain"))
     system.objects.remove("servers", removed.instance)
     system.objects.compact()
     for entry in entries:
         eventually(lambda e=entry: e.call("GET", "/new/x").status == 200, 4.5)
     time.sleep(1.0)
-    before = len(removed.seen)
+    before = len(removed.requests)
     for entry in entries:
         for _ in range(6):
             assert entry.call("GET", "/safe/x").status == 200
-    assert len(removed.seen) == before
+    assert len(removed.requests) == before
 
 
 def test_an_older_configuration_is_not_applied(system: Deployment) -> None:
@@ -70,7 +74,7 @@
     """The store refuses one entry and serves the other. The refused entry still applies a change of
     the configuration, accepts a job, runs it and commits its results."""
     system.start_server("plain", _answer)
-    system.start_server("engine", stream_events(4))
+    system.start_server("engine", event_stream_handler(4))
     address, faults = system.serve_second_address()
     entry, other = system.start_entry("e1", store=address), system.start_entry("e2")
     time.sleep(1.0)
@@ -102,17 +106,17 @@
         "servers", draining.instance, draining.registration("plain", state="draining")
     )
     time.sleep(0.6)
-    before = len(draining.seen)
+    before = len(draining.requests)
     for _ in range(10):
         assert entry.call("GET", "/safe/x").status == 200
-    assert len(draining.seen) == before
-    assert len(staying.seen) >= 10
+    assert len(draining.requests) == before
+    assert len(staying.requests) >= 10
 
 
 def test_a_leaving_entry_finishes_its_streams_and_is_not_ready(system: Deployment) -> None:
     """SIGTERM arrives during a stream. The stream ends complete, a new request on an open
     connection is still served, and the process exits in time with code 0."""
-    system.start_server("engine", stream_events(10, pause_s=0.15))
+    system.start_server("engine", event_stream_handler(10, pause_s=0.15))
     entry = system.start_entry("e1")
     found: list[Answer] = []
     caller = threading.Thread(
@@ -134,7 +138,7 @@
     """Callers keep calling until the process has exited, since the balancer has no other entry.
     Each gets a complete stream, or is told at once that its request did not run. Guards against
     cutting off the last streams when the process exits."""
-    system.start_server("engine", stream_events(10, pause_s=0.1))
+    system.start_server("engine", event_stream_handler(10, pause_s=0.1))
     entry = system.start_entry("e1")
     for _ in range(3):
         assert entry.call("POST", "/stream/x", body=b"b").complete
@@ -203,7 +207,7 @@
     well before its deadline. Guards against waiting for the end of the watch, 30 s."""
     system.keeper("k1")
     time.sleep(1.0)
-    system.objects.faults.deaf = True
+    system.objects.faults.suppress_watch_events = True
     system.objects.put("retirements", "m1", {"duration_s": 8})
     stored = system.objects.objects
     eventually(lambda: stored[("retirements", "m1")]["status"] == {"state": "completed"}, 6)
--- a/tests/direct/test_online.py
+++ b/tests/direct/test_online.py
@@ -14,8 +14,8 @@
 from carobspool_standins.platform_server import (
     ServedRequest,
     ServerConnection,
-    answer_bytes,
-    stream_events,
+    event_stream_handler,
+    signed_response_bytes,
 )
 
 Served = tuple[Deployment, Entry]
@@ -47,15 +47,15 @@
 def test_an_answer_is_passed_on_unchanged(served: Served) -> None:
     system, entry = served
 
-    def behave(request: ServedRequest, connection: ServerConnection) -> None:
-        connection.answer(request, 418, b"\x00tea", "X-Own: 1\r\n")
+    def handle_request(request: ServedRequest, connection: ServerConnection) -> None:
+        connection.send_response(request, 418, b"\x00tea", "X-Own: 1\r\n")
 
-    server = system.start_server("plain", behave)
+    server = system.start_server("plain", handle_request)
     _settle()
     answer = entry.call("POST", "/safe/a?b=c", body=b"hello", headers={"X-Mine": "2"})
     assert (answer.status, answer.body) == (418, b"\x00tea")
     assert (answer.headers["server-stamp"], answer.headers["x-own"]) == ("s", "1")
-    (seen,) = server.seen
+    (seen,) = server.requests
     assert (seen.method, seen.target, seen.body) == ("POST", "/safe/a?b=c", b"hello")
     assert (seen.headers["x-mine"], seen.headers["host"]) == ("2", HOST)
     assert seen.headers["expect-instance"] == server.instance
@@ -67,15 +67,15 @@
     in place of the answer to the next caller, who must receive the answer to its own request."""
     system, entry = served
 
-    def behave(request: ServedRequest, connection: ServerConnection) -> None:
-        connection.answer(request, 200, request.target.encode())
+    def handle_request(request: ServedRequest, connection: ServerConnection) -> None:
+        connection.send_response(request, 200, request.target.encode())
         if request.target.endswith("first"):
-            late = answer_bytes(request.request_id, 200, b"stale")
+            late = signed_response_bytes(request.request_id, 200, b"stale")
             threading.Timer(0.3, connection.send, (late,)).start()
         else:
             time.sleep(0.0)
 
-    system.start_server("plain", behave)
+    system.start_server("plain", handle_request)
     _settle()
     assert entry.call("GET", "/safe/first").body == b"/safe/first"
     time.sleep(0.5)
@@ -87,13 +87,13 @@
     system, entry = served
     earlier: list[str] = []
 
-    def behave(request: ServedRequest, connection: ServerConnection) -> None:
+    def handle_request(request: ServedRequest, connection: ServerConnection) -> None:
         for request_id in earlier:
-            connection.send(answer_bytes(request_id, 200, b"stale"))
+            connection.send(signed_response_bytes(request_id, 200, b"stale"))
         earlier[:] = [request.request_id]
-        connection.answer(request, 200, request.target.encode())
+        connection.send_response(request, 200, request.target.encode())
 
-    server = system.start_server("plain", behave)
+    server = system.start_server("plain", handle_request)
     _settle()
     for name in ("a", "b"):
         assert entry.call("GET", f"/safe/{name}").body == f"/safe/{name}".encode()
@@ -123,22 +123,24 @@
     answer = entry.call("POST", "/once/x", body=b"b")
     assert (answer.status, answer.headers["carobspool-outcome"]) == (502, "unknown")
     assert "retry-after" not in answer.headers
-    assert len(system.servers[0].seen) == 1
-    system.start_server("plain", lambda request, connection: connection.answer(request))
+    assert len(system.servers[0].requests) == 1
+    system.start_server("plain", lambda request, connection: connection.send_response(request))
     _settle()
     assert entry.call("GET", "/safe/x").body == b"ok"
 
 
 def test_a_request_that_one_server_rejects_runs_at_another(served: Served) -> None:
     system, entry = served
-    system.start_server("plain", lambda request, connection: connection.not_run(request))
+    system.start_server("plain", lambda request, connection: connection.send_not_executed(request))
     _settle()
     assert entry.call("POST", "/once/x", body=b"b").status == 503
-    good = system.start_server("plain", lambda request, connection: connection.answer(request))
+    good = system.start_server(
+        "plain", lambda request, connection: connection.send_response(request)
+    )
     _settle()
     for _ in range(4):
         assert entry.call("POST", "/once/x", body=b"b").status == 200
-    assert len(good.seen) == 4
+    assert len(good.requests) == 4
 
 
 def test_a_refusal_is_immediate_and_has_a_retry_after(served: Served) -> None:
@@ -155,14 +157,18 @@
     """A registration remains of a server whose address another service's server now uses. That
     server rejects the request, which then runs at a server of the right service."""
     system, entry = served
-    good = system.start_server("plain", lambda request, connection: connection.answer(request))
-    stranger = system.start_server("other", lambda request, connection: connection.answer(request))
+    good = system.start_server(
+        "plain", lambda request, connection: connection.send_response(request)
+    )
+    stranger = system.start_server(
+        "other", lambda request, connection: connection.send_response(request)
+    )
     gone = stranger.registration("plain")
     system.objects.put("servers", "i-gone", gone)
     _settle()
     assert {entry.call("POST", "/once/x", body=b"b").status for _ in range(6)} == {200}
     system.objects.remove("servers", "i-gone")
-    assert len(good.seen) == 6
+    assert len(good.requests) == 6
 
 
 def test_the_time_limit_of_the_route_ends_the_wait(served: Served) -> None:
@@ -181,25 +187,25 @@
     system, entry = served
     left: list[bool] = []
 
-    def behave(request: ServedRequest, connection: ServerConnection) -> None:
-        left.append(connection.peer_left(2.0))
+    def handle_request(request: ServedRequest, connection: ServerConnection) -> None:
+        left.append(connection.wait_for_peer_close(2.0))
         connection.close()
 
-    server = system.start_server("engine", behave)
+    server = system.start_server("engine", handle_request)
     _settle()
     with socket.create_connection(("127.0.0.1", entry.port)) as caller:
         caller.sendall(
             f"POST /stream/x HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: gone\r\n"
             "Deadline-Ms: 3000\r\nContent-Length: 0\r\n\r\n".encode()
         )
-        eventually(lambda: server.seen, 2.0)
+        eventually(lambda: server.requests, 2.0)
     eventually(lambda: left, 1.0)
     assert left == [True]
 
 
 def test_events_arrive_complete_and_in_order(served: Served) -> None:
     system, entry = served
-    system.start_server("engine", stream_events(5, pause_s=0.02))
+    system.start_server("engine", event_stream_handler(5, pause_s=0.02))
     _settle()
     answer = entry.call("POST", "/stream/x", body=b"b")
     assert answer.complete
@@ -207,17 +213,17 @@
 
 
 def _break_after(count: int, rest: bytes = b"") -> object:
-    def behave(request: ServedRequest, connection: ServerConnection) -> None:
+    def handle_request(request: ServedRequest, connection: ServerConnection) -> None:
         start = int(request.headers.get("last-event-id", "0"))
-        connection.start_events(request)
+        connection.send_stream_headers(request)
         for number in range(start + 1, start + count + 1):
-            connection.event(number)
+            connection.send_event(number)
         if rest:
-            connection.chunk(rest)
+            connection.send_chunk(rest)
         time.sleep(0.1)
         connection.reset()
 
-    return behave
+    return handle_request
 
 
 def test_a_broken_stream_that_may_not_be_repeated_does_not_look_complete(served: Served) -> None:
@@ -232,7 +238,7 @@
         assert not answer.complete
     except ConnectionError:
         pass
-    assert len(first.seen) + len(second.seen) == 1
+    assert len(first.requests) + len(second.requests) == 1
 
 
 @pytest.mark.parametrize("rest", [b"", b"id: 3\nda"], ids=["between events", "within an event"])
@@ -241,17 +247,17 @@
     broken = system.start_server("engine", _break_after(2, rest))  # type: ignore[arg-type]
     _settle()
     threading.Timer(0.05, lambda: None).start()
-    good = system.start_server("engine", stream_events(4))
+    good = system.start_server("engine", event_stream_handler(4))
     _settle()
     for _ in range(6):
         answer = entry.call("POST", "/resume/x", body=b"b")
         assert answer.complete
         expected = b"".join(b"id: %d\ndata: piece %d\n\n" % (n, n) for n in range(1, 5))
         assert answer.body == expected
-        if broken.seen:
+        if broken.requests:
             break
         time.sleep(1.1)
-    assert good.seen[-1].headers.get("last-event-id") in (None, "2")
+    assert good.requests[-1].headers.get("last-event-id") in (None, "2")
 
 
 def test_a_request_without_a_matching_route_is_answered_404(served: Served) -> None:
@@ -274,14 +280,16 @@
     served: Served, head: str, status: int
 ) -> None:
     system, entry = served
-    server = system.start_server("plain", lambda request, connection: connection.answer(request))
+    server = system.start_server(
+        "plain", lambda request, connection: connection.send_response(request)
+    )
     _settle()
     with socket.create_connection(("127.0.0.1", entry.port)) as caller:
         caller.settimeout(3.0)
         ending = "" if status == 408 else f"Host: {HOST}\r\nRequest-Id: r\r\n\r\nzz\r\n"
         caller.sendall((head + ending).encode())
         assert caller.recv(4_096).split()[1] == str(status).encode()
-    assert server.seen == []
+    assert server.requests == []
     assert entry.call("GET", "/safe/x").status == 200
 
 
@@ -294,17 +302,17 @@
     system, entry = served
     slow = threading.Event()
 
-    def behave(request: ServedRequest, connection: ServerConnection) -> None:
+    def handle_request(request: ServedRequest, connection: ServerConnection) -> None:
         if slow.is_set():
             time.sleep(0.5)
-        connection.answer(request)
+        connection.send_response(request)
 
-    servers = [system.start_server("plain", behave) for _ in range(2)]
+    servers = [system.start_server("plain", handle_request) for _ in range(2)]
     _settle()
     for _ in range(30):
         assert entry.call("POST", "/once/x", body=b"b").status == 200
     slow.set()
-    used_before = [len(server.seen) for server in servers]
+    used_before = [len(server.requests) for server in servers]
     found: list[tuple[int, float, str]] = []
 
     def call() -> None:
@@ -323,13 +331,13 @@
     assert served_count + len(refused) == 40
     assert served_count >= 24
     assert all(took < 0.4 and float(retry) > 0 for _, took, retry in refused)
-    used = [len(each.seen) - before for each, before in zip(servers, used_before, strict=True)]
+    used = [len(each.requests) - before for each, before in zip(servers, used_before, strict=True)]
     assert abs(used[0] - used[1]) <= 4
 
 
 def test_the_log_contains_the_outcome_of_a_request(served: Served, tmp_path: Path) -> None:
     system, entry = served
-    system.start_server("plain", lambda request, connection: connection.answer(request))
+    system.start_server("plain", lambda request, connection: connection.send_response(request))
     _settle()
     entry.call("GET", "/safe/x", request_id="logged")
     (line,) = eventually(lambda: entry.log_lines_containing("request=logged"), 2.0)
--- a/tests/direct/test_organisations.py
+++ b/tests/direct/test_organisations.py
@@ -25,7 +25,11 @@
 )
 
 from carobspool_core.organisations import qualified_job_id
-from carobspool_standins.platform_server import ServedRequest, ServerConnection, stream_events
+from carobspool_standins.platform_server import (
+    ServedRequest,
+    ServerConnection,
+    event_stream_handler,
+)
 
 ACME = {"Authorization": "Bearer acme-key"}
 OTHER = {"Authorization": "Bearer other-key"}
@@ -47,7 +51,7 @@
 
 
 def _answer_ok(request: ServedRequest, connection: ServerConnection) -> None:
-    connection.answer(request)
+    connection.send_response(request)
 
 
 def _write_configuration(system: Deployment, version: int, *tenants: dict[str, Any]) -> None:
@@ -61,7 +65,7 @@
     with deployment(tmp_path_factory.mktemp("organisations"), *ROUTES) as system:
         _write_configuration(system, 2, *TENANTS)
         system.start_server("plain", _answer_ok)
-        system.start_server("engine", stream_events(3))
+        system.start_server("engine", event_stream_handler(3))
         first, second = system.start_entry("e1"), system.start_entry("e2")
         eventually(lambda: first.log_lines_containing("event=peer_seen peer=e2"), 5.0)
         eventually(lambda: second.log_lines_containing("event=peer_seen peer=e1"), 5.0)
@@ -70,7 +74,7 @@
 
 
 def _seen_request(system: Deployment, request_id: str) -> ServedRequest:
-    seen = [each for server in system.servers for each in server.seen]
+    seen = [each for server in system.servers for each in server.requests]
     return next(each for each in seen if each.request_id == request_id)
 
 
@@ -145,7 +149,7 @@
         assert entry.call("GET", "/api/items/j1?id=j1-a", headers=OTHER).status == 404
         assert entry.call("DELETE", "/api/lots/j1", headers=OTHER).status == 404
         assert entry.call("GET", "/api/lots/j1?after=0").status == 401
-    items = [each for each in system.servers[1].seen if each.request_id == "j1-a"]
+    items = [each for each in system.servers[1].requests if each.request_id == "j1-a"]
     assert {each.headers["tenant"] for each in items} == {"acme"}
 
 
@@ -247,7 +251,7 @@
 def test_jobs_submitted_before_organisations_were_declared_stay_readable(tmp_path: Path) -> None:
     """The callers of these jobs were promised results, and now present a key."""
     with deployment(tmp_path, *ROUTES) as system:
-        system.start_server("engine", stream_events(2))
+        system.start_server("engine", event_stream_handler(2))
         entry = system.start_entry("e1")
         body = job_body("old-a")
         assert entry.call("POST", "/batch/x", body=body, request_id="old").status == 202
@@ -257,7 +261,7 @@
         assert eventually(lambda: _all_results(entry, "old", ACME), 3.0)
         again = entry.call("POST", "/batch/x", body=body, headers=ACME, request_id="old")
         assert again.status == 202
-        assert len([each for each in system.servers[0].seen if each.request_id == "old-a"]) == 1
+        assert len([each for each in system.servers[0].requests if each.request_id == "old-a"]) == 1
         assert entry.call("GET", "/api/lots/old?after=0").status == 401
 
 
@@ -265,7 +269,7 @@
     """The entry cannot tell who owns a job; it must neither serve the job nor report it missing."""
     with deployment(tmp_path, *ROUTES) as system:
         _write_configuration(system, 2, *TENANTS)
-        system.start_server("engine", stream_events(2))
+        system.start_server("engine", event_stream_handler(2))
         first = system.start_entry("e1")
         body = job_body("j-a")
         assert first.call("POST", "/batch/x", body=body, headers=ACME, request_id="j").status == 202
--- a/tests/direct/test_restarted_upstreams.py
+++ b/tests/direct/test_restarted_upstreams.py
@@ -28,8 +28,8 @@
     PlatformServer,
     ServedRequest,
     ServerConnection,
-    answer_bytes,
-    stream_events,
+    event_stream_handler,
+    signed_response_bytes,
 )
 
 RESTART_KNOWN_S = 1.0
@@ -47,7 +47,7 @@
 
 
 def _answer(request: ServedRequest, connection: ServerConnection) -> None:
-    connection.answer(request)
+    connection.send_response(request)
 
 
 def _numbers(answer: Answer) -> list[int]:
@@ -55,7 +55,7 @@
 
 
 def _seen_by(server: PlatformServer, started: int) -> list[ServedRequest]:
-    return [each for each in server.seen if each.started == started]
+    return [each for each in server.requests if each.started == started]
 
 
 class _Caller:
@@ -88,14 +88,14 @@
     server = system.start_server("plain", lambda request, connection: time.sleep(5.0))
     entry = system.start_entry("e1")
     caller = _Caller(entry, "/once/x")
-    eventually(lambda: server.seen, 1.0)
-    server.cut_off()
-    server.behave = _answer
+    eventually(lambda: server.requests, 1.0)
+    server.isolate()
+    server.handle_request = _answer
     system.restart_server(server, "plain")
     restarted = time.monotonic()
     answer = caller.answer()
     assert (answer.status, time.monotonic() - restarted < RESTART_KNOWN_S) == (502, True)
-    assert len(server.seen) == 1
+    assert len(server.requests) == 1
     assert entry.call("POST", "/once/y", body=b"b").status == 200
 
 
@@ -104,29 +104,29 @@
     restarts. The answers of its earlier start arrive while new requests run at the new start. The
     caller of the first request must receive 502, and each later caller its own answer."""
 
-    def behave(request: ServedRequest, connection: ServerConnection) -> None:
-        connection.answer(request, 200, request.target.encode())
+    def handle_request(request: ServedRequest, connection: ServerConnection) -> None:
+        connection.send_response(request, 200, request.target.encode())
 
-    server = system.start_server("plain", behave)
+    server = system.start_server("plain", handle_request)
     entry = system.start_entry("e1")
     late: list[ServerConnection] = []
 
     def answer_cut(request: ServedRequest, connection: ServerConnection) -> None:
         late.append(connection)
         time.sleep(0.2)
-        connection.answer(request, 200, b"late")
+        connection.send_response(request, 200, b"late")
 
-    server.behave = answer_cut
+    server.handle_request = answer_cut
     assert entry.call("POST", "/once/kept", body=b"b").body == b"late"
     caller = _Caller(entry, "/once/x")
-    eventually(lambda: len(server.seen) == 2, 1.0)
-    server.cut_off()
-    server.behave = behave
+    eventually(lambda: len(server.requests) == 2, 1.0)
+    server.isolate()
+    server.handle_request = handle_request
     system.restart_server(server, "plain")
     assert caller.answer().status == 502
     for connection in late:
-        connection.send(answer_bytes(server.seen[1].request_id, 200, b"later"))
-    server.deliver_late()
+        connection.send(signed_response_bytes(server.requests[1].request_id, 200, b"later"))
+    server.deliver_held_output()
     for number in range(6):
         target = f"/once/{number}"
         answer = entry.call("POST", target, body=b"b")
@@ -138,12 +138,12 @@
     """The only engine loses its network during a resumable stream and restarts under the same id.
     The stream must continue there at its next event as soon as the entry knows the new start,
     although the earlier start has just failed."""
-    server = system.start_server("engine", stream_events(30, pause_s=0.03))
+    server = system.start_server("engine", event_stream_handler(30, pause_s=0.03))
     entry = system.start_entry("e1")
     first = server.started
     caller = _Caller(entry, "/resume/x")
     time.sleep(0.4)
-    server.cut_off()
+    server.isolate()
     system.restart_server(server, "engine")
     answer = caller.answer()
     assert (answer.status, answer.complete) == (200, True)
@@ -159,9 +159,9 @@
     server = system.start_server("plain", lambda request, connection: time.sleep(5.0))
     entries = [system.start_entry("e1"), system.start_entry("e2")]
     callers = [_Caller(entry, "/once/x") for entry in entries for _ in range(4)]
-    eventually(lambda: len(server.seen) == len(callers), 2.0)
+    eventually(lambda: len(server.requests) == len(callers), 2.0)
     server.crash()
-    server.behave = _answer
+    server.handle_request = _answer
     time.sleep(0.1)
     system.restart_server(server, "plain")
     assert {caller.answer().status for caller in callers} == {502}
@@ -171,14 +171,14 @@
         )
         for _ in range(4):
             assert entry.call("POST", "/once/y", body=b"b").status == 200
-    assert len(server.seen) == len(callers) + 8
+    assert len(server.requests) == len(callers) + 8
 
 
 def test_a_stream_that_reached_the_new_start_early_is_not_cut(system: Deployment) -> None:
     """The server restarts and accepts a stream before the entry reads its new registration. The
     entry then attributes the stream to the earlier start. Since the stream still receives events,
     it must not be ended, and its caller must receive all of it."""
-    server = system.start_server("engine", stream_events(40, pause_s=0.03))
+    server = system.start_server("engine", event_stream_handler(40, pause_s=0.03))
     entry = system.start_entry("e1")
     server.crash()
     server.start()
@@ -196,15 +196,15 @@
     restarts. With ``deaf``, the store's watches deliver none of these changes, and the read every
     two seconds finds the new start. Every item must continue after its last event and end once with
     its whole text."""
-    server = system.start_server("engine", stream_events(40, pause_s=0.05))
+    server = system.start_server("engine", event_stream_handler(40, pause_s=0.05))
     entries = [system.start_entry("e1"), system.start_entry("e2")]
     names = [f"item-{number}" for number in range(5)]
     answer = entries[0].call("POST", "/batch/1", body=job_body(*names), request_id="job-1")
     assert answer.status == 202
-    eventually(lambda: len(server.seen) >= 5, 3.0)
+    eventually(lambda: len(server.requests) >= 5, 3.0)
     time.sleep(0.5)
-    system.objects.faults.deaf = deaf
-    server.cut_off()
+    system.objects.faults.suppress_watch_events = deaf
+    server.isolate()
     system.restart_server(server, "engine")
     second = server.started
     eventually(lambda: len(_seen_by(server, second)) >= 5, 4.5 if deaf else 2.0)
@@ -217,7 +217,7 @@
     assert sorted(each["id"] for each in results) == sorted(names)
     assert len(texts) == 1
     assert texts.pop().count("piece") == 40
-    resumed = [each for each in server.seen if each.started != server.seen[0].started]
+    resumed = [each for each in server.requests if each.started != server.requests[0].started]
     assert all("last-event-id" in each.headers for each in resumed)
     for entry in entries:
         eventually(lambda e=entry: e.log_lines_containing(f"started={server.started}"), 4.5)
@@ -274,9 +274,9 @@
     server = system.start_server("plain", lambda request, connection: time.sleep(5.0), started=0)
     entry = system.start_entry("e1")
     caller = _Caller(entry, "/once/x")
-    eventually(lambda: server.seen, 1.0)
-    server.cut_off()
-    server.behave = _answer
+    eventually(lambda: server.requests, 1.0)
+    server.isolate()
+    server.handle_request = _answer
     system.restart_server(server, "plain")
     assert (caller.answer().status, caller.took_s < 2.0) == (502, True)
     assert entry.call("POST", "/once/y", body=b"b").status == 200
--- a/tests/direct/test_rolling_restart.py
+++ b/tests/direct/test_rolling_restart.py
@@ -20,7 +20,7 @@
 from carobspool_standins.platform_server import (
     ServedRequest,
     ServerConnection,
-    stream_events,
+    event_stream_handler,
 )
 
 
@@ -34,7 +34,7 @@
 def test_the_last_entry_keeps_its_jobs_while_no_other_can_adopt_them(system: Deployment) -> None:
     """The only entry is told to stop half a second into items of 1.5 s. It continues for at least
     two seconds, and the caller must be able to read the results from it before it exits."""
-    system.start_server("engine", stream_events(15, pause_s=0.1))
+    system.start_server("engine", event_stream_handler(15, pause_s=0.1))
     entry = system.start_entry("e1")
     ids = [f"i{number}" for number in range(3)]
     assert entry.call("POST", "/batch/j", body=job_body(*ids), request_id="j").status == 202
@@ -56,12 +56,12 @@
     determine whether the job had an owner."""
     started: list[float] = []
     ended: list[float] = []
-    behave = stream_events(50, pause_s=0.1)
+    handle_request = event_stream_handler(50, pause_s=0.1)
 
     def record_run(request: ServedRequest, connection: ServerConnection) -> None:
         started.append(time.monotonic())
         try:
-            behave(request, connection)
+            handle_request(request, connection)
         finally:
             ended.append(time.monotonic())
 
--- a/tests/direct/test_shared_watch.py
+++ b/tests/direct/test_shared_watch.py
@@ -23,7 +23,7 @@
 
 
 def _answer(request: ServedRequest, connection: ServerConnection) -> None:
-    connection.answer(request)
+    connection.send_response(request)
 
 
 @pytest.fixture
@@ -79,13 +79,13 @@
             "servers", draining.instance, draining.registration("plain", state="draining")
         )
         time.sleep(DRAIN_LIMIT_S)
-        before = len(draining.seen)
+        before = len(draining.requests)
         for entry in system.entries:
             if entry in frozen:
                 continue
             for _ in range(4):
                 assert entry.call("GET", "/safe/x").status == 200
-        assert len(draining.seen) == before
+        assert len(draining.requests) == before
     finally:
         for entry in frozen:
             entry.send_signal(signal.SIGCONT)
--- a/tests/direct/test_still_and_slow_servers.py
+++ b/tests/direct/test_still_and_slow_servers.py
@@ -12,7 +12,11 @@
 import pytest
 from direct_harness import Deployment, all_results, deployment, eventually, job_body
 
-from carobspool_standins.platform_server import ServedRequest, ServerConnection, stream_events
+from carobspool_standins.platform_server import (
+    ServedRequest,
+    ServerConnection,
+    event_stream_handler,
+)
 
 EVENTS = 30
 PAUSE_S = 0.03
@@ -34,13 +38,13 @@
         self.running.set()
 
     def __call__(self, request: ServedRequest, connection: ServerConnection) -> None:
-        connection.start_events(request)
+        connection.send_stream_headers(request)
         first = int(request.headers.get("last-event-id", "0")) + 1
         for number in range(first, EVENTS + 1):
             self.running.wait(20.0)
-            connection.event(number)
+            connection.send_event(number)
             time.sleep(PAUSE_S)
-        connection.end_events()
+        connection.end_stream()
 
 
 def test_a_job_completes_although_its_server_froze_and_resumed(system: Deployment) -> None:
@@ -48,7 +52,7 @@
     must complete, and no event of the frozen runs may appear twice."""
     freezable = _FreezableStream()
     system.start_server("engine", freezable)
-    system.start_server("engine", stream_events(EVENTS, pause_s=PAUSE_S))
+    system.start_server("engine", event_stream_handler(EVENTS, pause_s=PAUSE_S))
     entries = [system.start_entry("e1"), system.start_entry("e2")]
     names = [f"item-{number}" for number in range(10)]
     assert (
@@ -71,12 +75,12 @@
 
     def slow(request: ServedRequest, connection: ServerConnection) -> None:
         time.sleep(2.0)
-        stream_events(6, pause_s=PAUSE_S)(request, connection)
+        event_stream_handler(6, pause_s=PAUSE_S)(request, connection)
 
     for _ in range(2):
         system.start_server("engine", slow)
     for _ in range(4):
-        system.start_server("engine", stream_events(6, pause_s=PAUSE_S))
+        system.start_server("engine", event_stream_handler(6, pause_s=PAUSE_S))
     entry = system.start_entry("e1")
 
     def first_event_s(_: int) -> float:
@@ -105,15 +109,15 @@
         connection.reset()
 
     def breaks(request: ServedRequest, connection: ServerConnection) -> None:
-        connection.start_events(request)
+        connection.send_stream_headers(request)
         for number in (1, 2, 3):
-            connection.event(number)
+            connection.send_event(number)
         time.sleep(0.05)
         connection.reset()
 
     system.start_server("plain", runs_and_resets)
     broken = system.start_server("engine", breaks)
-    system.start_server("engine", stream_events(6))
+    system.start_server("engine", event_stream_handler(6))
     entry = system.start_entry("e1")
     for number in range(5):
         answer = entry.call("POST", "/once/x", body=b"b", request_id=f"once-{number}")
@@ -124,7 +128,7 @@
         answer = entry.call("POST", "/resume/x", body=b"b")
         assert answer.complete
         assert answer.body == expected
-        if broken.seen:
+        if broken.requests:
             return
         time.sleep(1.1)
     pytest.fail("no stream reached the server that resets connections")
@@ -136,12 +140,12 @@
     hangs."""
     hangs = system.start_server("plain", lambda request, connection: time.sleep(10.0))
     for _ in range(2):
-        system.start_server("plain", lambda request, connection: connection.answer(request))
+        system.start_server("plain", lambda request, connection: connection.send_response(request))
     entry = system.start_entry("e1")
     slow = 0
     for _ in range(30):
         started = time.monotonic()
         assert entry.call("GET", "/safe/x").status == 200
         slow += time.monotonic() - started > 1.0
-    assert 1 <= len(hangs.seen) <= 6
-    assert slow <= len(hangs.seen)
+    assert 1 <= len(hangs.requests) <= 6
+    assert slow <= len(hangs.requests)
--- a/tests/direct_harness.py
+++ b/tests/direct_harness.py
@@ -19,8 +19,8 @@
 from typing import Any
 
 from carobspool_standins.platform_server import (
-    Behaviour,
     PlatformServer,
+    RequestHandler,
     serve_platform_server,
 )
 from carobspool_standins.platform_store import (
@@ -159,11 +159,13 @@
     servers: list[PlatformServer] = field(default_factory=list)
 
     def start_server(
-        self, service: str, behave: Behaviour, *, started: int | None = None
+        self, service: str, handle_request: RequestHandler, *, started: int | None = None
     ) -> PlatformServer:
         """Start a server and register it in the store."""
         instance = f"i-{uuid.uuid4().hex[:8]}"
-        server = self.stack.enter_context(serve_platform_server(instance, behave, started=started))
+        server = self.stack.enter_context(
+            serve_platform_server(instance, handle_request, started=started)
+        )
         self.servers.append(server)
         self.objects.put("servers", instance, server.registration(service))
         return server
--- a/tests/measure_restarts.py
+++ b/tests/measure_restarts.py
@@ -27,7 +27,7 @@
     PlatformServer,
     ServedRequest,
     ServerConnection,
-    stream_events,
+    event_stream_handler,
 )
 
 RUN_S = 0.08
@@ -80,7 +80,7 @@
 
 def _answer_after_run(request: ServedRequest, connection: ServerConnection) -> None:
     time.sleep(RUN_S)
-    connection.answer(request)
+    connection.send_response(request)
 
 
 def _time_until_used(
@@ -89,12 +89,12 @@
     if crash:
         server.crash()
     else:
-        server.cut_off()
+        server.isolate()
     time.sleep(DOWN_S)
     system.restart_server(server, service)
     restarted = time.monotonic()
     while time.monotonic() - restarted < MAX_UNUSED_S:
-        if any(each.started == server.started for each in list(server.seen)):
+        if any(each.started == server.started for each in list(server.requests)):
             break
         time.sleep(0.005)
     return time.monotonic() - restarted
@@ -104,7 +104,7 @@
     """Restart servers under load, and print the measurements."""
     with tempfile.TemporaryDirectory() as folder, deployment(Path(folder)) as system:
         plain = [system.start_server("plain", _answer_after_run) for _ in range(2)]
-        stream = stream_events(STREAM_EVENTS, pause_s=EVENT_PAUSE_S)
+        stream = event_stream_handler(STREAM_EVENTS, pause_s=EVENT_PAUSE_S)
         engines = [system.start_server("engine", stream) for _ in range(2)]
         load = _Load()
         for name in ("e1", "e2"):
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -48,11 +48,11 @@
 from carobspool_standins._faults import FaultBoard
 from carobspool_standins._relay_link import Relay, RelayFaults
 from carobspool_standins.platform_server import (
-    Behaviour,
     PlatformServer,
+    RequestHandler,
     ServedRequest,
     ServerConnection,
-    answer_bytes,
+    signed_response_bytes,
 )
 
 CALM_S = 14.0
@@ -148,9 +148,9 @@
         self._version += 1
         self._system.write_configuration(self._version, *STANDARD_ROUTES, *routes)
 
-    def _start_server(self, service: str, behave: Behaviour) -> None:
+    def _start_server(self, service: str, handle_request: RequestHandler) -> None:
         """Start a server that entries reach through a relay."""
-        server = self._system.start_server(service, behave)
+        server = self._system.start_server(service, handle_request)
         host, port = server.address
         server.address = _parse_address(self._start_relay(server.instance, (host, port)))
         self._system.objects.put("servers", server.instance, server.registration(service))
@@ -174,17 +174,17 @@
     def _behave(self, number: int) -> Callable[[ServedRequest, ServerConnection], None]:
         draw = random.Random(number)
 
-        def behave(request: ServedRequest, connection: ServerConnection) -> None:
+        def handle_request(request: ServedRequest, connection: ServerConnection) -> None:
             self._record.add_arrival(request.request_id)
             self._check_request(request)
             if request.request_id.startswith(HELD_PREFIX):
-                connection.not_run(request)
+                connection.send_not_executed(request)
                 return
             faulty = self._faulty.is_set() and draw.random() < 0.08
             if faulty:
                 self._record.faulty_requests.add(request.request_id)
             if faulty and draw.random() < 0.4:
-                connection.not_run(request)
+                connection.send_not_executed(request)
                 return
             self._record.add_run(request.request_id)
             self._record_run(request)
@@ -198,14 +198,14 @@
                 if kind == "reset":
                     connection.reset()
                     return
-                whole = answer_bytes(request.request_id, 200, body)
+                whole = signed_response_bytes(request.request_id, 200, body)
                 connection.send(whole[:-3] if kind == "short" else whole + whole)
                 if kind == "short":
                     connection.close()
                 return
-            connection.answer(request, 200, body)
+            connection.send_response(request, 200, body)
 
-        return behave
+        return handle_request
 
     def _repeat_until_stopped(
         self, task: Callable[[random.Random], None], draw: random.Random
@@ -477,14 +477,14 @@
 
     def _lose_store_answers(self, draw: random.Random) -> None:
         with self._disturbances.record():
-            self._system.objects.faults.lose_answers = draw.randrange(1, 4)
+            self._system.objects.faults.resets_after_write = draw.randrange(1, 4)
 
     def _suspend_watches(self, draw: random.Random) -> None:
         with self._disturbances.record():
-            self._system.objects.faults.deaf = True
+            self._system.objects.faults.suppress_watch_events = True
             time.sleep(0.5 + draw.random())
             self._system.objects.compact()
-            self._system.objects.faults.deaf = False
+            self._system.objects.faults.suppress_watch_events = False
 
     def _replace_server(self, draw: random.Random) -> None:
         server = draw.choice(self._system.servers)
@@ -505,10 +505,10 @@
 
     def _cut_off_server(self, draw: random.Random) -> None:
         server = draw.choice(self._system.servers)
-        server.cut_off()
+        server.isolate()
         self._restart_server(server, draw)
         if draw.random() < 0.5:
-            server.deliver_late()
+            server.deliver_held_output()
 
     def _restart_server(self, server: PlatformServer, draw: random.Random) -> None:
         """Restart a server under its id, often before its registration expires."""
@@ -518,7 +518,7 @@
 
     def _heal(self) -> None:
         self._system.objects.faults.status = 0
-        self._system.objects.faults.lose_answers = 0
+        self._system.objects.faults.resets_after_write = 0
         for board in self._relays.values():
             board.reset()
 
@@ -535,16 +535,16 @@
 
 
 def _stream(request: ServedRequest, connection: ServerConnection, *, cut: int | None) -> None:
-    connection.start_events(request)
+    connection.send_stream_headers(request)
     first = int(request.headers.get("last-event-id", "0")) + 1
     for number in range(first, EVENTS + 1):
         if cut is not None and number - first >= cut:
-            connection.chunk(b"id: 9")
+            connection.send_chunk(b"id: 9")
             connection.reset()
             return
         time.sleep(0.03)
-        connection.event(number)
-    connection.end_events()
+        connection.send_event(number)
+    connection.end_stream()
 
 
 def run_seeds(play_one: Callable[[int, float, Path], Record], description: str | None) -> int:
