--- a/packages/standins/src/carobspool_standins/_client.py
+++ b/packages/standins/src/carobspool_standins/_client.py
@@ -15,7 +15,7 @@
 DEFAULT_TIMEOUT_MS = 30_000
 
 
-class NoAnswer(StandinError):
+class IncompleteResponseError(StandinError):
     """A call that got no complete response: refused, reset, truncated or timed out."""
 
 
@@ -82,7 +82,7 @@
                 empty. Any return value but ``None`` aborts the call.
 
         Raises:
-            NoAnswer: If the call got no complete response.
+            IncompleteResponseError: If the call got no complete response.
         """
         request_headers = dict(headers or {})
         if json_body is not None:
@@ -115,7 +115,7 @@
         try:
             curl.perform()
         except pycurl.error as error:
-            raise NoAnswer(f"{method} {path}: {error.args[-1]}") from error
+            raise IncompleteResponseError(f"{method} {path}: {error.args[-1]}") from error
         status = curl.getinfo(pycurl.RESPONSE_CODE)
         return Reply(status=status, headers=reply_headers, body=received.getvalue())
 
--- a/packages/standins/src/carobspool_standins/_cluster.py
+++ b/packages/standins/src/carobspool_standins/_cluster.py
@@ -15,12 +15,12 @@
 from types import TracebackType
 from typing import Any
 
-from carobspool_standins._client import HttpClient, NoAnswer
+from carobspool_standins._client import HttpClient, IncompleteResponseError
 from carobspool_standins._member import Key, Member
 from carobspool_standins._processes import (
     Command,
     ProcessGroup,
-    process_seconds,
+    process_cpu_seconds,
 )
 from carobspool_standins.errors import ClusterError
 from carobspool_standins.ports import LOOPBACK, PortChooser
@@ -38,8 +38,8 @@
 class Cluster:
     """Starts the processes of a system and ends all of them on close; a context manager.
 
-    Each ``start_…`` method returns when its process is ready; within `together`, it returns at
-    once. Most of them pass further keyword arguments on as settings of the process.
+    Each ``start_…`` method returns when its process is ready; within `start_concurrently`, it
+    returns at once. Most of them pass further keyword arguments on as settings of the process.
 
     Args:
         folder: Directory for settings, keys and logs; created if missing.
@@ -88,7 +88,7 @@
         self._ports.close()
 
     @contextlib.contextmanager
-    def together(self) -> Iterator[None]:
+    def start_concurrently(self) -> Iterator[None]:
         """Start processes concurrently and wait at the end of the block until all are ready."""
         self._awaiting_ready = []
         try:
@@ -109,11 +109,11 @@
         port = self._ports.choose()
         return self._start(name, f"carobspool_standins.{kind}", {"port": port, **settings}, port)
 
-    def start_objects(self, **settings: Any) -> Member:
+    def start_object_api(self, **settings: Any) -> Member:
         """Start the stand-in of the object API."""
         return self.start_standin("objects", OBJECT_API_NAME, **settings)
 
-    def start_hosts(self, **settings: Any) -> Member:
+    def start_host_list(self, **settings: Any) -> Member:
         """Start the stand-in of the host list."""
         return self.start_standin("hosts", HOST_LIST_NAME, **settings)
 
@@ -122,7 +122,7 @@
         loaded = [{"name": model} for model in models]
         return self.start_standin("engine", name, models=loaded, **settings)
 
-    def start_plain(self, name: str, *, service: str, **settings: Any) -> Member:
+    def start_plain_service(self, name: str, *, service: str, **settings: Any) -> Member:
         """Start a plain HTTP service."""
         return self.start_standin("plain", name, service=service, **settings)
 
@@ -211,7 +211,7 @@
     def cpu_seconds(self) -> dict[str, float]:
         """Return the CPU time in seconds that each running process has used so far, by name."""
         return {
-            name: process_seconds(self._group.pid(name))
+            name: process_cpu_seconds(self._group.pid(name))
             for name in self._members
             if self._group.is_running(name)
         }
@@ -239,11 +239,11 @@
         self._group.send(name, signal.SIGKILL)
         self._group.wait(name, STOP_TIMEOUT_S)
 
-    def freeze(self, name: str) -> None:
+    def suspend(self, name: str) -> None:
         """Suspend a process (SIGSTOP)."""
         self._group.send(name, signal.SIGSTOP)
 
-    def thaw(self, name: str) -> None:
+    def resume(self, name: str) -> None:
         """Resume a suspended process (SIGCONT)."""
         self._group.send(name, signal.SIGCONT)
 
@@ -269,11 +269,11 @@
         """Return the process id."""
         return self._group.pid(name)
 
-    def log(self, name: str) -> str:
+    def read_log(self, name: str) -> str:
         """Return the whole log of a process, across all its starts."""
         return self._group.log(name)
 
-    def faults(self, name: str, **faults: Any) -> None:
+    def set_faults(self, name: str, **faults: Any) -> None:
         """Set the faults that a stand-in injects; without arguments, clear all of them.
 
         Raises:
@@ -286,7 +286,7 @@
         if reply.status != 200:
             raise ClusterError(f"{name} rejected the faults: {reply.text}")
 
-    def apply(
+    def apply_configuration(
         self,
         entry: str,
         state: Mapping[str, Any],
@@ -311,14 +311,14 @@
     def wait_until(
         self, what: str, condition: Callable[[], bool], seconds: float = WAIT_TIMEOUT_S
     ) -> None:
-        """Poll until a condition holds; `NoAnswer` from the condition counts as false.
+        """Poll until a condition holds; an `IncompleteResponseError` that it raises means false.
 
         Raises:
             ClusterError: If the condition does not hold in time.
         """
         deadline = time.monotonic() + seconds
         while True:
-            with contextlib.suppress(NoAnswer):
+            with contextlib.suppress(IncompleteResponseError):
                 if condition():
                     return
             if time.monotonic() > deadline:
--- a/packages/standins/src/carobspool_standins/_experiment_run.py
+++ b/packages/standins/src/carobspool_standins/_experiment_run.py
@@ -101,14 +101,14 @@
     fleet = experiment.fleet
     models = [ONLINE_MODEL, BATCH_MODEL]
     work_ms = experiment.services.work_ms if experiment.services is not None else 0.0
-    with cluster.together():
-        cluster.start_objects()
+    with cluster.start_concurrently():
+        cluster.start_object_api()
         engines = [
             cluster.start_engine(f"engine-{number}", models=models, **fleet.engine)
             for number in range(fleet.engines)
         ]
         plain_services = [
-            cluster.start_plain(f"service-{number}", service=SERVICE, work_ms=work_ms)
+            cluster.start_plain_service(f"service-{number}", service=SERVICE, work_ms=work_ms)
             for number in range(fleet.services)
         ]
     entries: list[Member] = []
@@ -135,7 +135,7 @@
     arm: Arm,
 ) -> None:
     slots = int(fleet.engine.get("slots", 32))
-    with cluster.together():
+    with cluster.start_concurrently():
         for number, upstream in enumerate([*engines, *plain_services]):
             is_engine = number < len(engines)
             cluster.start_sidecar(
@@ -153,7 +153,7 @@
 
 
 def _start_entries(cluster: Cluster, fleet: Fleet) -> list[Member]:
-    with cluster.together():
+    with cluster.start_concurrently():
         return [
             cluster.start_entry(
                 f"entry-{number}",
@@ -191,7 +191,7 @@
         **experiment.state,
         **arm.state,
     }
-    cluster.apply(running.entries[0].name, state, reason="experiment")
+    cluster.apply_configuration(running.entries[0].name, state, reason="experiment")
     for entry in running.entries:
         client = cluster.client(entry.name, running.callers[0])
         cluster.wait_until(
--- a/packages/standins/src/carobspool_standins/_processes.py
+++ b/packages/standins/src/carobspool_standins/_processes.py
@@ -20,7 +20,7 @@
 _UTIME_INDEX = 11  # Index among the fields that follow the process name.
 
 
-def process_seconds(pid: int) -> float:
+def process_cpu_seconds(pid: int) -> float:
     """Return the CPU time of a process in seconds, user and system mode together."""
     fields = Path(f"/proc/{pid}/stat").read_text(encoding="ascii").rpartition(")")[2].split()
     ticks = int(fields[_UTIME_INDEX]) + int(fields[_UTIME_INDEX + 1])
--- a/packages/standins/src/carobspool_standins/quickstart.py
+++ b/packages/standins/src/carobspool_standins/quickstart.py
@@ -76,15 +76,15 @@
 def start_processes(tour: Tour) -> None:
     """Start the platform, three upstreams with their sidecars, and two entries."""
     cluster = tour.cluster
-    with cluster.together():
-        cluster.start_objects()
-        cluster.start_hosts()
+    with cluster.start_concurrently():
+        cluster.start_object_api()
+        cluster.start_host_list()
         engines = [
             cluster.start_engine(f"engine-{number}", models=[NOTES_MODEL, CLAUSES_MODEL])
             for number in (1, 2)
         ]
-        plain_service = cluster.start_plain("shop-1", service=SERVICE)
-    with cluster.together():
+        plain_service = cluster.start_plain_service("shop-1", service=SERVICE)
+    with cluster.start_concurrently():
         for number, engine in enumerate(engines):
             cluster.start_sidecar(
                 f"sidecar-{number + 1}",
@@ -127,7 +127,7 @@
 
 def apply_configuration(tour: Tour) -> None:
     """Apply the first configuration through one entry and wait until both entries use it."""
-    revision = tour.cluster.apply(
+    revision = tour.cluster.apply_configuration(
         ENTRIES[0], desired_state(tour, weight=1.0), reason="first configuration"
     )
     for entry in ENTRIES:
@@ -213,7 +213,7 @@
     before = require_ok(
         tour.operator_client(ENTRIES[0]).call("GET", "/operator/config"), "config"
     ).json
-    revision = tour.cluster.apply(
+    revision = tour.cluster.apply_configuration(
         ENTRIES[0],
         desired_state(tour, weight=2.0),
         base=before["revision"],
--- a/packages/standins/tests/test_cluster.py
+++ b/packages/standins/tests/test_cluster.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from carobspool_standins._client import NoAnswer
+from carobspool_standins._client import IncompleteResponseError
 from carobspool_standins._cluster import Cluster
 from carobspool_standins.errors import ClusterError
 
@@ -17,26 +17,26 @@
     After close no process is left, not even a suspended one.
     """
     with Cluster(tmp_path) as cluster:
-        with cluster.together():
-            cluster.start_objects()
-            cluster.start_plain("up-1", service="orders")
+        with cluster.start_concurrently():
+            cluster.start_object_api()
+            cluster.start_plain_service("up-1", service="orders")
         assert cluster.client("objects").call("GET", "/calls").status == 200
-        cluster.faults("up-1", status=503)
+        cluster.set_faults("up-1", status=503)
         assert cluster.client("up-1").call("GET", "/").status == 503
         first = cluster.pid("up-1")
         cluster.kill("up-1")
-        with pytest.raises(NoAnswer):
+        with pytest.raises(IncompleteResponseError):
             cluster.client("up-1").call("GET", "/")
         cluster.restart("up-1")
         assert cluster.client("up-1").call("GET", "/").status == 200
-        cluster.freeze("up-1")
-        with pytest.raises(NoAnswer):
+        cluster.suspend("up-1")
+        with pytest.raises(IncompleteResponseError):
             cluster.client("up-1", timeout_ms=50).call("GET", "/")
-        cluster.thaw("up-1")
+        cluster.resume("up-1")
         assert cluster.client("up-1").call("GET", "/").status == 200
         pids = [first, cluster.pid("up-1"), cluster.pid("objects")]
         assert cluster.stop("up-1") == 0
-        cluster.freeze("objects")
+        cluster.suspend("objects")
     for pid in pids:
         with pytest.raises(ProcessLookupError):
             os.kill(pid, 0)
--- a/packages/standins/tests/test_engine.py
+++ b/packages/standins/tests/test_engine.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from carobspool_standins._client import HttpClient, NoAnswer
+from carobspool_standins._client import HttpClient, IncompleteResponseError
 from carobspool_standins._engine_settings import EngineSettings, LoadedModel
 from carobspool_standins.engine import make_application
 from carobspool_standins.weights import WeightsSettings
@@ -148,7 +148,7 @@
     """A closed connection aborts the run of a streamed and of an unstreamed request."""
     for stream in (True, False):
         own = HttpClient(client.base, timeout_ms=30)
-        with pytest.raises(NoAnswer):
+        with pytest.raises(IncompleteResponseError):
             own.call("POST", CHAT, json_body=chat(min_tokens=9000, stream=stream))
         own.close()
     wait_for(lambda: outcomes(client) == ["aborted", "aborted"])
@@ -275,7 +275,7 @@
     body = chat(min_tokens=40, max_tokens=40, stream=stream)
     try:
         found = client.call("POST", CHAT, json_body=body).status
-    except NoAnswer:
+    except IncompleteResponseError:
         found = None
     assert found == status
     client.call("POST", "/faults/reset")
@@ -305,15 +305,15 @@
         body = chat(min_tokens=9000, stream=True)
         pending = pool.submit(HttpClient(client.base).call, "POST", CHAT, json_body=body)
         wait_for(lambda: client.call("GET", "/load").json["running"] == 1)
-        with pytest.raises(NoAnswer):
+        with pytest.raises(IncompleteResponseError):
             HttpClient(client.base).call("POST", CHAT, json_body=chat("boom"))
-        with pytest.raises(NoAnswer):
+        with pytest.raises(IncompleteResponseError):
             pending.result()
 
     def restarted() -> bool:
         try:
             return client.call("GET", "/state").json["models"].keys() == {"m"}
-        except NoAnswer:
+        except IncompleteResponseError:
             return False
 
     wait_for(restarted)
--- a/packages/standins/tests/test_objects.py
+++ b/packages/standins/tests/test_objects.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from carobspool_standins._client import HttpClient, NoAnswer, Reply
+from carobspool_standins._client import HttpClient, IncompleteResponseError, Reply
 from carobspool_standins.objects import ObjectsSettings, make_application
 
 SETTINGS = ObjectsSettings(port=0, max_value_bytes=100, max_history=20)
@@ -105,7 +105,7 @@
     """A write whose connection is reset has taken effect or not, depending on the fault."""
     client.call("POST", "/faults", json_body={fault: {"prefix": "c/", "count": 1}})
     assert put(client, "other", "x", 0).status == 200
-    with pytest.raises(NoAnswer):
+    with pytest.raises(IncompleteResponseError):
         put(client, "c/1", "x", 0)
     assert (client.call("GET", "/objects/c/1").status == 200) is applied
     assert put(client, "c/2", "x", 0).status == 200, "only one occurrence"
--- a/packages/standins/tests/test_plain.py
+++ b/packages/standins/tests/test_plain.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from carobspool_standins._client import HttpClient, NoAnswer
+from carobspool_standins._client import HttpClient, IncompleteResponseError
 from carobspool_standins.plain import PlainSettings, make_application
 
 
@@ -51,7 +51,7 @@
     client.call("POST", "/faults", json_body=faults)
     try:
         found = client.call("POST", "/pay", body="x").status
-    except NoAnswer:
+    except IncompleteResponseError:
         found = None
     assert found == status
     assert len(client.call("GET", "/record").json["runs"]) == executed
--- a/packages/standins/tests/test_relay.py
+++ b/packages/standins/tests/test_relay.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from carobspool_standins._client import HttpClient, NoAnswer
+from carobspool_standins._client import HttpClient, IncompleteResponseError
 from carobspool_standins.plain import PlainSettings
 from carobspool_standins.plain import make_application as make_plain
 from carobspool_standins.ports import PortChooser
@@ -29,12 +29,12 @@
     relay.call("POST", "/faults", json_body={"hold": True})
     with ThreadPoolExecutor(1) as pool:
         pending = pool.submit(relayed.call, "GET", "/x")
-        with pytest.raises(NoAnswer):
+        with pytest.raises(IncompleteResponseError):
             HttpClient(relayed.base, timeout_ms=100).call("GET", "/x")
         relay.call("POST", "/faults/reset")
         assert pending.result().status == 200
     relay.call("POST", "/faults", json_body={"cut": True})
-    with pytest.raises(NoAnswer):
+    with pytest.raises(IncompleteResponseError):
         relayed.call("GET", "/x")
     relay.call("POST", "/faults/reset")
     assert relayed.call("GET", "/x").status == 200
--- a/packages/standins/tests/test_weights.py
+++ b/packages/standins/tests/test_weights.py
@@ -39,7 +39,7 @@
             "GET", "/weights/m/1?bytes=5000000", on_data=try_second_download
         )
     except Exception as error:
-        assert type(error).__name__ == "NoAnswer"
+        assert type(error).__name__ == "IncompleteResponseError"
     assert replies[0].status == 429
     assert replies[0].headers["retry-after"] == "1"
     deadline = time.monotonic() + 5
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 from typing import Any
 
-from carobspool_standins._client import HttpClient, NoAnswer, Reply
+from carobspool_standins._client import HttpClient, IncompleteResponseError, Reply
 from carobspool_standins._cluster import Cluster, Key
 
 MODEL = "notes"
@@ -119,7 +119,7 @@
 
     def apply_state(self, entry: str = "entry-1", **sections: Any) -> int:
         """Apply the desired state on the last applied revision and return the new one."""
-        self.revision = self.cluster.apply(
+        self.revision = self.cluster.apply_configuration(
             entry, self.desired_state(**sections), base=self.revision
         )
         return self.revision
@@ -149,7 +149,7 @@
         """Send a chat completion.
 
         Raises:
-            NoAnswer: If the connection broke before the answer was complete.
+            IncompleteResponseError: If the connection broke before the answer was complete.
         """
         client = self.cluster.client(entry, key or self.key, timeout_ms=timeout_ms)
         body = chat_body(text, stream=stream, tokens=tokens)
@@ -247,17 +247,17 @@
     plan = plan or SitePlan()
     with Cluster(folder) as cluster:
         site = Site(cluster, plan)
-        with cluster.together():
-            cluster.start_objects()
-            cluster.start_hosts()
+        with cluster.start_concurrently():
+            cluster.start_object_api()
+            cluster.start_host_list()
             engines = [
                 cluster.start_engine(name, models=[MODEL], **plan.engine) for name in site.engines
             ]
             plain_services = [
-                cluster.start_plain(f"plain-{number + 1}", service=SERVICE)
+                cluster.start_plain_service(f"plain-{number + 1}", service=SERVICE)
                 for number in range(plan.plain_services)
             ]
-        with cluster.together():
+        with cluster.start_concurrently():
             for number, engine in enumerate(engines):
                 cluster.start_sidecar(
                     f"sidecar-{number + 1}",
@@ -345,8 +345,8 @@
 def run_concurrently(calls: list[Callable[[], Any]], *, timeout_s: float = 90.0) -> list[Any]:
     """Run calls in parallel threads and return their results.
 
-    The result of a call whose connection broke is its `NoAnswer`. Any other exception is raised
-    again here, and a call that does not end within the timeout fails the test.
+    The result of a call whose connection broke is its `IncompleteResponseError`. Any other
+    exception is raised again here, and a call that does not end within the timeout fails the test.
     """
     results: list[Any] = [None] * len(calls)
     errors: list[BaseException] = []
@@ -354,7 +354,7 @@
     def run(number: int, call: Callable[[], Any]) -> None:
         try:
             results[number] = call()
-        except NoAnswer as error:
+        except IncompleteResponseError as error:
             results[number] = error
         except BaseException as error:
             errors.append(error)
--- a/tests/history.py
+++ b/tests/history.py
@@ -17,7 +17,7 @@
 
 from harness import Site, chat_body, ended_clean, stream_text
 
-from carobspool_standins._client import HttpClient, NoAnswer
+from carobspool_standins._client import HttpClient, IncompleteResponseError
 
 NO_ANSWER = 0
 
@@ -121,7 +121,7 @@
             status = reply.status
             response_headers = reply.headers
             is_complete = True
-        except NoAnswer:
+        except IncompleteResponseError:
             is_complete = False
         content = b"".join(chunks)
         call = Call(
--- a/tests/promises/test_at_most_once.py
+++ b/tests/promises/test_at_most_once.py
@@ -81,9 +81,9 @@
     """
     with running_site(tmp_path, SitePlan(engines=1)) as site:
         history = History()
-        site.cluster.faults("engine-1", **fault)
+        site.cluster.set_faults("engine-1", **fault)
         run_concurrently(_calls_to_every_entry(site, history))
-        site.cluster.faults("engine-1")
+        site.cluster.set_faults("engine-1")
         run_concurrently(_calls_to_every_entry(site, history))
         _assert_at_most_once(site, history)
 
@@ -106,9 +106,9 @@
             if fault == "kill":
                 site.cluster.kill("entry-1")
                 return
-            site.cluster.freeze("entry-1")
+            site.cluster.suspend("entry-1")
             time.sleep(4.0)
-            site.cluster.thaw("entry-1")
+            site.cluster.resume("entry-1")
 
         first = [
             lambda number=number: history.chat(  # type: ignore[misc]
@@ -133,7 +133,7 @@
     """The caller gets its answer although the store's answers to reservations are lost."""
     with running_site(tmp_path, SitePlan()) as site:
         history = History()
-        site.cluster.faults(
+        site.cluster.set_faults(
             "objects",
             lose_answer={
                 "prefix": "reservations/",
@@ -150,12 +150,12 @@
     """The caller immediately gets a 503 with outcome "not run" and a retry delay."""
     with running_site(tmp_path, SitePlan()) as site:
         history = History()
-        site.cluster.faults("objects", outage=True)
+        site.cluster.set_faults("objects", outage=True)
         calls = [
             history.chat(site, f"reply {number}", headers=_headers(number))
             for number in range(KEYS)
         ]
-        site.cluster.faults("objects")
+        site.cluster.set_faults("objects")
         _assert_at_most_once(site, history)
         for call in calls:
             assert call.status == 503
@@ -174,7 +174,7 @@
     """A non-idempotent call is executed once, however often the caller resends it."""
     with running_site(tmp_path, SitePlan(engines=0, plain_services=1)) as site:
         history = History()
-        site.cluster.faults("plain-1", delay_ms=200)
+        site.cluster.set_faults("plain-1", delay_ms=200)
         run_concurrently(
             [
                 lambda number=number, entry=entry: history.send(  # type: ignore[misc]
@@ -217,9 +217,9 @@
         if fault == "kill":
             site.cluster.kill("entry-2")
         else:
-            site.cluster.freeze("entry-2")
+            site.cluster.suspend("entry-2")
             time.sleep(6.0)
-            site.cluster.thaw("entry-2")
+            site.cluster.resume("entry-2")
         done = site.wait_batch_ended(batch["id"], timeout_s=90.0)
         results = site.batch_results(done)
         assert items_without_one_result(items, results) == []
--- a/tests/promises/test_cancel.py
+++ b/tests/promises/test_cancel.py
@@ -71,10 +71,10 @@
     """
     with running_site(tmp_path, PLAN) as site:
         batch_id = _submit_and_wait_for_progress(site)
-        site.cluster.freeze("entry-2")
+        site.cluster.suspend("entry-2")
         cancelled_at = _cancel(site, batch_id, "entry-1")
         time.sleep(4.0)
-        site.cluster.thaw("entry-2")
+        site.cluster.resume("entry-2")
         batch = site.wait_batch_ended(batch_id)
         time.sleep(1.5)
         assert batch["status"] == "cancelled"
@@ -86,9 +86,9 @@
     """The caller immediately gets a 503 with a retry delay; a later cancel succeeds."""
     with running_site(tmp_path, PLAN) as site:
         batch_id = _submit_and_wait_for_progress(site)
-        site.cluster.faults("objects", outage=True)
+        site.cluster.set_faults("objects", outage=True)
         reply = site.caller().call("POST", f"/v1/batches/{batch_id}/cancel")
-        site.cluster.faults("objects")
+        site.cluster.set_faults("objects")
         assert reply.status == 503
         assert "retry-after" in reply.headers
         cancelled_at = _cancel(site, batch_id)
--- a/tests/promises/test_configuration.py
+++ b/tests/promises/test_configuration.py
@@ -101,7 +101,7 @@
     """
     with running_site(tmp_path, SitePlan(entries=3, engines=2)) as site:
         revision = site.apply_state("entry-1", organisations=_organisations(tabosa=3.0))
-        site.cluster.faults("objects", outage=True)
+        site.cluster.set_faults("objects", outage=True)
         site.cluster.wait_until(
             "in force without the store",
             lambda: _in_force_everywhere(site, revision, site.entries),
@@ -114,14 +114,14 @@
             lambda: _weights(site, "entry-3").get("tabosa") == 3.0,
             IN_FORCE_LIMIT_S,
         )
-        site.cluster.faults("objects")
+        site.cluster.set_faults("objects")
 
 
 def test_the_store_loses_its_answers_to_an_apply(tmp_path: Path) -> None:
     """An apply is answered as accepted although answers of the store to its writes are lost."""
     with running_site(tmp_path, SitePlan(entries=2, engines=1)) as site:
         for prefix in ("config/parts/", "config/revisions/", "config/head"):
-            site.cluster.faults(
+            site.cluster.set_faults(
                 "objects",
                 lose_answer={"prefix": prefix, "ops": ["create", "update"], "count": 1},
             )
@@ -131,19 +131,19 @@
             )
             assert reply.status == 200, reply.text
             site.revision = reply.json["revision"]
-            site.cluster.faults("objects")
+            site.cluster.set_faults("objects")
             assert _weights(site, "entry-1")["tabosa"] == weight
 
 
 def test_a_frozen_process_wakes_and_does_not_bring_the_past_back(tmp_path: Path) -> None:
     """No entry reverts to an old revision after a process that still has one is thawed."""
     with running_site(tmp_path, SitePlan(entries=3, engines=2)) as site:
-        site.cluster.freeze("entry-2")
-        site.cluster.freeze("sidecar-2")
+        site.cluster.suspend("entry-2")
+        site.cluster.suspend("sidecar-2")
         revision = site.apply_state("entry-1", organisations=_organisations(tabosa=9.0))
         time.sleep(2.0)
-        site.cluster.thaw("entry-2")
-        site.cluster.thaw("sidecar-2")
+        site.cluster.resume("entry-2")
+        site.cluster.resume("sidecar-2")
         site.cluster.wait_until(
             "in force", lambda: _in_force_everywhere(site, revision, site.entries), IN_FORCE_LIMIT_S
         )
@@ -171,7 +171,7 @@
         upstream = {**cluster.upstreams[0], "checks_fencing": checks_fencing}
         site.apply_state(upstreams=[upstream], models=[{"name": MODEL, "version": "2"}])
         time.sleep(0.15)
-        cluster.freeze("sidecar-1")
+        cluster.suspend("sidecar-1")
         successor = cluster.start_sidecar(
             "sidecar-1b", cluster.member("engine-1"), models=[MODEL], **ORDER_SETTINGS
         )
@@ -180,7 +180,7 @@
         cluster.wait_until(
             "version 3 runs", lambda: _model_version_and_state(site) == ("3", "ready"), 20.0
         )
-        cluster.thaw("sidecar-1")
+        cluster.resume("sidecar-1")
         time.sleep(3.0)
         cluster.wait_until(
             "version 3 runs", lambda: _model_version_and_state(site) == ("3", "ready"), 10.0
--- a/tests/promises/test_configuration_faults.py
+++ b/tests/promises/test_configuration_faults.py
@@ -60,7 +60,7 @@
 
 def load_order_count(site: Site, sidecar: str) -> int:
     """Return the number of loads that a sidecar ordered, from its log."""
-    return site.cluster.log(sidecar).count("event=order kind=load")
+    return site.cluster.read_log(sidecar).count("event=order kind=load")
 
 
 def test_racing_operators(tmp_path: Path) -> None:
@@ -104,7 +104,7 @@
     """
     with running_site(tmp_path, SitePlan(entries=3)) as site:
         revision = site.apply_state(organisations=organisations_with(site, x=2.0))
-        site.cluster.faults("objects", outage=True)
+        site.cluster.set_faults("objects", outage=True)
         wait_in_force(site, revision, site.entries, IN_FORCE_LIMIT_S)
         refused = apply_organisations(site, "entry-1", revision, organisations_with(site, x=3.0))
         assert (refused.status, refused.json["error"]["outcome"]) == (503, "not_run")
@@ -112,7 +112,7 @@
         site.cluster.restart("entry-2")
         wait_in_force(site, revision, ["entry-2"], 15.0)
         assert organisation_weights(site, "entry-2")["x"] == 2.0
-        site.cluster.faults("objects")
+        site.cluster.set_faults("objects")
         wait_in_force(site, revision, site.entries, IN_FORCE_LIMIT_S)
 
 
@@ -126,7 +126,7 @@
         for number, moment in enumerate((0.2, 0.5, 0.8, 1.1, 1.4)):
             base = site.revision
             organisations = organisations_with(site, x=float(number + 2))
-            site.cluster.faults("objects", delay_ms=150)
+            site.cluster.set_faults("objects", delay_ms=150)
 
             def kill_later(moment: float = moment) -> None:
                 time.sleep(moment)
@@ -134,7 +134,7 @@
 
             apply = partial(apply_organisations, site, "entry-1", base, organisations)
             run_concurrently([apply, kill_later])
-            site.cluster.faults("objects")
+            site.cluster.set_faults("objects")
             again = apply_organisations(site, "entry-2", base, organisations)
             assert again.status == 200, again.text
             site.revision = again.json["revision"]
@@ -163,7 +163,7 @@
         site.cluster.wait_until(
             "version 2 runs", lambda: model_version(site, "engine-1") == "2", 10.0
         )
-        site.cluster.freeze("sidecar-1")
+        site.cluster.suspend("sidecar-1")
         site.cluster.start_sidecar(
             "sidecar-1b",
             site.cluster.member("engine-1"),
@@ -174,7 +174,7 @@
         site.cluster.wait_until(
             "version 3 runs", lambda: model_version(site, "engine-1") == "3", 15.0
         )
-        site.cluster.thaw("sidecar-1")
+        site.cluster.resume("sidecar-1")
         seen = set()
         deadline = time.monotonic() + 4.0
         while time.monotonic() < deadline:
@@ -199,9 +199,9 @@
             "version 2 runs", lambda: model_version(site, "engine-1") == "2", 10.0
         )
         site.cluster.wait_until("it serves", lambda: site.chat("hello").status == 200, 10.0)
-        site.cluster.faults("engine-1", crash_marker="boom", crash_mode="restart")
+        site.cluster.set_faults("engine-1", crash_marker="boom", crash_mode="restart")
         run_concurrently([lambda: site.chat("boom", headers={"carobspool-timeout-ms": "2000"})])
-        site.cluster.faults("engine-1")
+        site.cluster.set_faults("engine-1")
         site.cluster.wait_until(
             "ordered again", lambda: load_order_count(site, "sidecar-1") == 2, 10.0
         )
--- a/tests/promises/test_crashing_request.py
+++ b/tests/promises/test_crashing_request.py
@@ -21,14 +21,14 @@
 
 def _crash_count(site: Site) -> int:
     return sum(
-        site.cluster.log(f"sidecar-{number + 1}").count("event=upstream_down")
+        site.cluster.read_log(f"sidecar-{number + 1}").count("event=upstream_down")
         for number in range(site.plan.engines)
     )
 
 
 def _crash_engines_on_marker(site: Site) -> None:
     for engine in site.engines:
-        site.cluster.faults(engine, **FAULTS)
+        site.cluster.set_faults(engine, **FAULTS)
 
 
 def test_resent_through_every_entry(tmp_path: Path) -> None:
--- a/tests/promises/test_exactly_once.py
+++ b/tests/promises/test_exactly_once.py
@@ -73,9 +73,9 @@
         items = batch_items(ITEMS, tokens=40)
         batch = site.submit_batch(items, entry="entry-1")
         time.sleep(1.0)
-        site.cluster.freeze("entry-3")
+        site.cluster.suspend("entry-3")
         time.sleep(3 * LEASE_TTL_MS / 1000.0)
-        site.cluster.thaw("entry-3")
+        site.cluster.resume("entry-3")
         _assert_each_item_once(site, items, batch["id"], entry="entry-1")
         assert_same_results_at_every_entry(site, batch["id"])
 
@@ -90,9 +90,9 @@
         items = batch_items(ITEMS, tokens=40)
         batch = site.submit_batch(items, entry="entry-1")
         time.sleep(1.0)
-        site.cluster.faults("objects", outage=True)
+        site.cluster.set_faults("objects", outage=True)
         time.sleep(30.0)
-        site.cluster.faults("objects")
+        site.cluster.set_faults("objects")
         _assert_each_item_once(site, items, batch["id"], entry="entry-2")
 
 
@@ -114,7 +114,7 @@
     recognises the write as its own.
     """
     with running_site(tmp_path, PLAN) as site:
-        site.cluster.faults(
+        site.cluster.set_faults(
             "objects", lose_answer={"prefix": prefix, "ops": operations, "count": 6}
         )
         items = batch_items(ITEMS // 2)
@@ -194,9 +194,9 @@
         time.sleep(0.8)
 
         def outage() -> None:
-            site.cluster.faults("objects", outage=True)
+            site.cluster.set_faults("objects", outage=True)
             time.sleep(5.0)
-            site.cluster.faults("objects")
+            site.cluster.set_faults("objects")
 
         def kill_processes() -> None:
             time.sleep(1.0)
--- a/tests/promises/test_leaving.py
+++ b/tests/promises/test_leaving.py
@@ -74,12 +74,12 @@
             )
             assert reply.status == 200, reply.text
         else:
-            site.cluster.freeze("sidecar-1")
+            site.cluster.suspend("sidecar-1")
         time.sleep(6.0)
         # The callers stop before the thaw, so a request that starts after it was sent before it.
         load.stop()
         if cause == "frozen":
-            site.cluster.thaw("sidecar-1")
+            site.cluster.resume("sidecar-1")
             time.sleep(2.0)
         assert _starts_between(site, "engine-1", left_at + GRACE_PERIOD_MS, _now()) == []
         assert false_not_run_answers(history.calls, site.engine_runs()) == []
--- a/tests/promises/test_not_run.py
+++ b/tests/promises/test_not_run.py
@@ -58,14 +58,14 @@
     with running_site(tmp_path, plan) as site:
         history = History()
         for engine in site.engines:
-            site.cluster.faults(engine, **_ENGINE_FAULTS[fault])
+            site.cluster.set_faults(engine, **_ENGINE_FAULTS[fault])
         calls: list[Callable[[], Any]] = []
         for stream in (False, True):
             for idempotent in (False, True):
                 calls += _calls(site, history, stream=stream, idempotent=idempotent)
         run_concurrently(calls)
         for engine in site.engines:
-            site.cluster.faults(engine)
+            site.cluster.set_faults(engine)
         time.sleep(0.5)
         assert len(history.calls) == 4 * REQUESTS
         assert false_not_run_answers(history.calls, site.engine_runs()) == []
@@ -90,9 +90,9 @@
             if fault == "kill":
                 site.cluster.kill("sidecar-1")
                 return
-            site.cluster.freeze("sidecar-1")
+            site.cluster.suspend("sidecar-1")
             time.sleep(5.0)
-            site.cluster.thaw("sidecar-1")
+            site.cluster.resume("sidecar-1")
 
         run_concurrently([*calls, inject_fault])
         time.sleep(1.0)
@@ -116,7 +116,7 @@
     plan = SitePlan(entries=1, engines=0, plain_services=1)
     with running_site(tmp_path, plan) as site:
         history = History()
-        site.cluster.faults("plain-1", **fault)
+        site.cluster.set_faults("plain-1", **fault)
         headers = {"carobspool-timeout-ms": "1000", "Content-Type": "application/json"}
         run_concurrently(
             [
@@ -131,7 +131,7 @@
                 for number in range(8)
             ]
         )
-        site.cluster.faults("plain-1")
+        site.cluster.set_faults("plain-1")
         runs = site.process_client("plain-1").call("GET", "/record").json["runs"]
         assert len(history.calls) == 8
         assert false_not_run_answers(history.calls, runs) == []
--- a/tests/promises/test_shutdown.py
+++ b/tests/promises/test_shutdown.py
@@ -102,4 +102,4 @@
             ]
         )
         assert not history.calls[0].is_complete
-        assert "event=shutdown_cut" in site.cluster.log("entry-1")
+        assert "event=shutdown_cut" in site.cluster.read_log("entry-1")
--- a/tests/promises/test_whole_answer.py
+++ b/tests/promises/test_whole_answer.py
@@ -19,7 +19,7 @@
 from harness import Site, SitePlan, chat_body, run_concurrently, running_site, stream_text
 from history import History, wrong_answers
 
-from carobspool_standins._client import NoAnswer
+from carobspool_standins._client import IncompleteResponseError
 
 pytestmark = pytest.mark.promise("whole answer to its own caller")
 STREAMS = 30
@@ -149,9 +149,9 @@
 
         def freeze() -> None:
             time.sleep(0.4)
-            site.cluster.freeze(process)
+            site.cluster.suspend(process)
             time.sleep(seconds)
-            site.cluster.thaw(process)
+            site.cluster.resume(process)
 
         run_concurrently([*_stream_calls(site, history, texts), freeze])
         assert len(history.calls) == len(texts)
@@ -186,10 +186,10 @@
 def test_a_truncated_plain_answer_is_an_error(tmp_path: Path) -> None:
     """A truncated answer of a plain service becomes a typed failure and is not forwarded."""
     with running_site(tmp_path, SitePlan(entries=1, engines=0, plain_services=1)) as site:
-        site.cluster.faults("plain-1", half_answer=True)
+        site.cluster.set_faults("plain-1", half_answer=True)
         try:
             reply = site.caller().call("GET", "/services/orders/x")
-        except NoAnswer:
+        except IncompleteResponseError:
             return
         assert reply.status == 502
         assert reply.headers["carobspool-outcome"] == "unknown"
--- a/tests/tour.py
+++ b/tests/tour.py
@@ -226,15 +226,15 @@
 def tour_site(folder: Path) -> Iterator[Tour]:
     """Start a site without configuration: two engines, a plain service, two entries."""
     with Cluster(folder / "processes") as cluster:
-        with cluster.together():
-            cluster.start_objects()
-            cluster.start_hosts()
+        with cluster.start_concurrently():
+            cluster.start_object_api()
+            cluster.start_host_list()
             engines = [
                 cluster.start_engine(f"engine-{number}", models=[MODEL], **FAST_ENGINE)
                 for number in (1, 2)
             ]
-            plain = cluster.start_plain("shop-1", service=SERVICE)
-        with cluster.together():
+            plain = cluster.start_plain_service("shop-1", service=SERVICE)
+        with cluster.start_concurrently():
             for number, engine in enumerate(engines, start=1):
                 cluster.start_sidecar(f"sidecar-{number}", engine, models=[MODEL])
             cluster.start_sidecar("sidecar-3", plain, service=SERVICE)
--- a/tools/slope_connections.py
+++ b/tools/slope_connections.py
@@ -20,7 +20,7 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent / "tests"))
 
 from carobspool_standins._cluster import Cluster, Key  # noqa: E402
-from carobspool_standins._processes import process_seconds  # noqa: E402
+from carobspool_standins._processes import process_cpu_seconds  # noqa: E402
 
 MODEL = "notes"
 SETTLE_SECONDS = 8.0
@@ -66,10 +66,10 @@
     with tempfile.TemporaryDirectory() as folder, Cluster(Path(folder)) as cluster:
         key = _start(cluster, entries=entries, sidecars=sidecars)
         time.sleep(SETTLE_SECONDS)
-        before = [process_seconds(cluster.pid(name)) for name in ("entry-1", "sidecar-1")]
+        before = [process_cpu_seconds(cluster.pid(name)) for name in ("entry-1", "sidecar-1")]
         bytes_before = _link_bytes(cluster, key)
         time.sleep(seconds)
-        after = [process_seconds(cluster.pid(name)) for name in ("entry-1", "sidecar-1")]
+        after = [process_cpu_seconds(cluster.pid(name)) for name in ("entry-1", "sidecar-1")]
         per_entry = (_link_bytes(cluster, key) - bytes_before) / seconds
         cores = [100.0 * (b - a) / seconds for a, b in zip(before, after, strict=True)]
         return (
@@ -85,10 +85,10 @@
 
 def _start(cluster: Cluster, *, entries: int, sidecars: int) -> Key:
     key = cluster.operator_key
-    cluster.start_objects()
+    cluster.start_object_api()
     engine = cluster.start_engine("engine-1", models=[MODEL])
     upstreams = []
-    with cluster.together():
+    with cluster.start_concurrently():
         for number in range(sidecars):
             name = f"sidecar-{number + 1}"
             cluster.start_sidecar(name, engine, models=[MODEL])
@@ -105,7 +105,7 @@
         "models": [{"name": MODEL, "version": "1"}],
         "upstreams": upstreams,
     }
-    cluster.apply("entry-1", state)
+    cluster.apply_configuration("entry-1", state)
     return key
 
 
