--- a/packages/standins/src/carobspool_standins/quickstart.py
+++ b/packages/standins/src/carobspool_standins/quickstart.py
@@ -20,7 +20,7 @@
 from carobspool_standins._cluster import Cluster
 from carobspool_standins._member import Key
 from carobspool_standins._openai_calls import (
-    BATCH_ENDINGS,
+    TERMINAL_BATCH_STATES,
     create_batch,
     read_batch,
     read_results,
@@ -76,15 +76,15 @@
 def start_processes(tour: Tour) -> None:
     """Start the platform, three upstreams with their sidecars, and two entries."""
     cluster = tour.cluster
-    with cluster.together():
-        cluster.start_objects()
-        cluster.start_hosts()
+    with cluster.start_concurrently():
+        cluster.start_object_api()
+        cluster.start_host_list()
         engines = [
             cluster.start_engine(f"engine-{number}", models=[NOTES_MODEL, CLAUSES_MODEL])
             for number in (1, 2)
         ]
-        plain_service = cluster.start_plain("shop-1", service=SERVICE)
-    with cluster.together():
+        plain_service = cluster.start_plain_service("shop-1", service=SERVICE)
+    with cluster.start_concurrently():
         for number, engine in enumerate(engines):
             cluster.start_sidecar(
                 f"sidecar-{number + 1}",
@@ -127,7 +127,7 @@
 
 def apply_configuration(tour: Tour) -> None:
     """Apply the first configuration through one entry and wait until both entries use it."""
-    revision = tour.cluster.apply(
+    revision = tour.cluster.apply_configuration(
         ENTRIES[0], desired_state(tour, weight=1.0), reason="first configuration"
     )
     for entry in ENTRIES:
@@ -188,7 +188,7 @@
     job = create_batch(submitter, upload(submitter, NOTES_FILE, content))
     tour.cluster.wait_until(
         "the batch job ends",
-        lambda: read_batch(reader, job)["status"] in BATCH_ENDINGS,
+        lambda: read_batch(reader, job)["status"] in TERMINAL_BATCH_STATES,
         BATCH_TIMEOUT_S,
     )
     seconds = time.monotonic() - start
@@ -213,7 +213,7 @@
     before = require_ok(
         tour.operator_client(ENTRIES[0]).call("GET", "/operator/config"), "config"
     ).json
-    revision = tour.cluster.apply(
+    revision = tour.cluster.apply_configuration(
         ENTRIES[0],
         desired_state(tour, weight=2.0),
         base=before["revision"],
