--- a/packages/core/src/carobspool_core/direct/_load_pace.py
+++ b/packages/core/src/carobspool_core/direct/_load_pace.py
@@ -12,7 +12,7 @@
 from carobspool_core._clock import Millis
 
 MAX_DATAGRAMS_PER_SECOND = 2_000.0
-"""Limit of the load hints that an entry sends to all its peers together."""
+"""Limit of the datagrams with loads that an entry sends to all its peers together."""
 MAX_BURST = 10.0
 """Changes that are sent one by one before the budget delays them."""
 MIN_SEND_INTERVAL: Millis = 4.0
@@ -23,17 +23,17 @@
 """Shorter waits count as none: adding them to the current time might not change its value."""
 
 
-class LoadPace:
+class LoadSendLimiter:
     """Token bucket for sending loads to all peers. Not thread-safe; callers pass in the time."""
 
-    __slots__ = ("_tokens", "_refilled_at", "_last_sent_at")
+    __slots__ = ("_last_sent_at", "_refilled_at", "_tokens")
 
     def __init__(self) -> None:
         self._tokens = MAX_BURST
         self._refilled_at: Millis = 0.0
         self._last_sent_at: Millis = float("-inf")
 
-    def wait(self, now: Millis, *, peers: int) -> Millis:
+    def delay_before_send(self, now: Millis, *, peers: int) -> Millis:
         """Return how long to wait before loads may be sent again, 0 if they may be sent now."""
         self._refill(now, peers)
         gap = 0.0 if self._tokens >= 1.0 else (1.0 - self._tokens) * self._interval_per_send(peers)
@@ -41,7 +41,7 @@
         wait = max(MIN_SEND_INTERVAL - since, min(gap, MAX_SEND_INTERVAL - since))
         return wait if wait > MIN_WAIT else 0.0
 
-    def sent(self, now: Millis, *, peers: int) -> None:
+    def record_send(self, now: Millis, *, peers: int) -> None:
         """Record that loads were sent to all peers."""
         self._refill(now, peers)
         self._tokens = max(0.0, self._tokens - 1.0)
--- a/packages/node/src/carobspool_node/direct/_callers.py
+++ b/packages/node/src/carobspool_node/direct/_callers.py
@@ -16,7 +16,7 @@
     Route,
     RouteKind,
     has_time_for_job_call,
-    return_after_outage,
+    retry_delay_in_outage,
 )
 from carobspool_core.organisations import Admission, qualified_job_id
 from carobspool_node.direct._caller_connection import CallerConnection
@@ -28,8 +28,8 @@
 from carobspool_node.direct._messages import AUTHORIZATION, CallerRequest, HeaderNames
 from carobspool_node.direct._telemetry import Telemetry
 from carobspool_node.organisations import (
-    Access,
-    CallerAccess,
+    CallerAuthenticator,
+    CallerIdentity,
     CallerKeyRefused,
     RequestQuota,
 )
@@ -71,7 +71,7 @@
         forwarder: Forwarder,
         jobs: Jobs,
         telemetry: Telemetry,
-        access: CallerAccess,
+        access: CallerAuthenticator,
         quota: RequestQuota,
         *,
         configuration: Callable[[], Configuration | None],
@@ -126,11 +126,11 @@
                 self._submit(request, route, caller, access)
             return
         if access.organisation is None:
-            self._forwarder.serve(request, route, caller, organisation=access.owner)
+            self._forwarder.serve(request, route, caller, organisation=access.owner_name)
             return
         self._serve_within_limit(request, route, caller, access.organisation.name)
 
-    def _identify(self, request: CallerRequest, *, is_exempt: bool) -> Access:
+    def _identify(self, request: CallerRequest, *, is_exempt: bool) -> CallerIdentity:
         return self._access.identify(request.header_values(AUTHORIZATION), is_exempt=is_exempt)
 
     def _serve_within_limit(
@@ -141,7 +141,7 @@
             self._refuse_over_limit(request, caller, organisation, admission)
             return
         if not self._forwarder.serve(request, route, caller, organisation=organisation):
-            self._quota.give_back(organisation)
+            self._quota.refund(organisation)
 
     def _check_time_for_job_call(self, request: CallerRequest, caller: CallerConnection) -> bool:
         """Return whether a call on a job can finish before this process exits; refuse it if not."""
@@ -151,23 +151,25 @@
         return False
 
     def _submit(
-        self, request: CallerRequest, route: Route, caller: CallerConnection, access: Access
+        self, request: CallerRequest, route: Route, caller: CallerConnection, access: CallerIdentity
     ) -> None:
         if request.method != b"POST":
             raise BadRequestError("jobs are submitted with POST", 405)
         if not _is_job_id(request.request_id):
             raise BadRequestError("the id is none that a job can have", 400)
         job = JobInput(
-            job_id=qualified_job_id(request.request_id, access.owner),
+            job_id=qualified_job_id(request.request_id, access.owner_name),
             host=request.host,
             path=request.path,
             owner="",
             submitted=0.0,
             items=tuple(self._dialect.job_items(request.body)),
-            organisation=access.owner,
+            organisation=access.owner_name,
         )
-        unowned = qualified_job_id(request.request_id, None) if access.owner else None
-        outcome = self._jobs.submit(job, route, unowned=unowned)
+        id_without_organisation = (
+            qualified_job_id(request.request_id, None) if access.owner_name else None
+        )
+        outcome = self._jobs.submit(job, route, id_without_organisation=id_without_organisation)
         self._record_job_call(request, "submit", outcome)
         if outcome is Outcome.DONE:
             caller.answer(202, [], b"")
@@ -185,7 +187,7 @@
             # The organisations are unknown, so an unqualified id could name any organisation's job.
             self._refuse(request, caller, 503, NOT_CONFIGURED, NOT_CONFIGURED_RETRY_AFTER)
             return
-        owner = self._identify_for_job_call(request, configuration).owner
+        owner = self._identify_for_job_call(request, configuration).owner_name
         if isinstance(call, ReadResults):
             wait = min(call.wait, MAX_READ_WAIT)
             page = self._act_on_job(
@@ -215,9 +217,9 @@
 
     def _identify_for_job_call(
         self, request: CallerRequest, configuration: Configuration
-    ) -> Access:
+    ) -> CallerIdentity:
         values = request.header_values(AUTHORIZATION)
-        is_exempt = not values and configuration.has_open_jobs_at(request.host)
+        is_exempt = not values and configuration.has_keyless_batch_route(request.host)
         return self._identify(request, is_exempt=is_exempt)
 
     def _act_on_job(
@@ -230,13 +232,13 @@
         found = act(qualified_job_id(call.job_id, owner))
         if found is not Outcome.NOT_FOUND:
             return found
-        unowned = self._jobs.unowned(call.job_id, owner)
-        return found if unowned is None else act(unowned)
+        id_without_organisation = self._jobs.find_job_without_organisation(call.job_id, owner)
+        return found if id_without_organisation is None else act(id_without_organisation)
 
     def _retry_after(self, request: CallerRequest, limit: Millis) -> Millis:
         deadline = request.time_limit(self._names.deadline, limit)
         time_left = request.arrived + deadline - self._clock.now()
-        return return_after_outage(random.random(), time_left)
+        return retry_delay_in_outage(random.random(), time_left)
 
     def _record_job_call(self, request: CallerRequest, call: str, outcome: Outcome) -> None:
         self._telemetry.count("job_calls", call=call, outcome=outcome.value)
@@ -262,7 +264,7 @@
         self, request: CallerRequest, caller: CallerConnection, error: CallerKeyRefused
     ) -> None:
         self._telemetry.count("refused_keys", reason=error.problem.name.lower())
-        if error.is_final:
+        if error.is_permanent:
             self._refuse(request, caller, 401, error.problem.value, None)
             return
         self._refuse(request, caller, 503, error.problem.value, KEY_RETRY_AFTER)
@@ -275,15 +277,15 @@
         admission: Admission,
     ) -> None:
         self._telemetry.count("over_limit")
-        wait = admission.wait * (1.0 + RETRY_JITTER_FRACTION * random.random())
+        wait = admission.retry_after * (1.0 + RETRY_JITTER_FRACTION * random.random())
         logging.info(
             "event=over_limit request=%s organisation=%s level=%.2f entries_heard=%d entries=%d"
             " wait_ms=%.0f",
             request.request_id,
             organisation,
             admission.level,
-            admission.heard,
-            admission.entries,
+            admission.entries_heard,
+            admission.entry_count,
             wait,
         )
         message = f"organisation {organisation!r} is over its limit of requests a second"
--- a/packages/node/src/carobspool_node/direct/_entry.py
+++ b/packages/node/src/carobspool_node/direct/_entry.py
@@ -21,11 +21,12 @@
 from carobspool_node.direct._bad_records import BadRecords
 from carobspool_node.direct._caller_connection import CallerConnection
 from carobspool_node.direct._callers import CallerApi
-from carobspool_node.direct._declared import Declared
+from carobspool_node.direct._declared import DeclaredState
 from carobspool_node.direct._deployment import Deployment
 from carobspool_node.direct._exit import EntryExit
 from carobspool_node.direct._forward import Forwarder
-from carobspool_node.direct._hint_receiver import PeerEvents
+from carobspool_node.direct._group_assignment import GroupAssignment
+from carobspool_node.direct._hint_receiver import PeerCallbacks
 from carobspool_node.direct._item_run import ItemRunner
 from carobspool_node.direct._job_adoption import JobAdoption
 from carobspool_node.direct._job_catalog import JobCatalog
@@ -39,11 +40,10 @@
 from carobspool_node.direct._membership import Membership
 from carobspool_node.direct._messages import CallerRequest
 from carobspool_node.direct._metrics_server import serve_metrics
-from carobspool_node.direct._neighbourhood import Neighbourhood
-from carobspool_node.direct._peer import OwnHint
+from carobspool_node.direct._peer import AnnouncementContent
 from carobspool_node.direct._peer_api import PeerApi
 from carobspool_node.direct._peer_calls import PEER_HEADERS, PeerCaller
-from carobspool_node.direct._peers import OwnState, Peers
+from carobspool_node.direct._peers import HintSources, Peers
 from carobspool_node.direct._reload import SettingsReload
 from carobspool_node.direct._settings import DirectSettings
 from carobspool_node.direct._stop_signal import StopSignal
@@ -51,7 +51,11 @@
 from carobspool_node.direct._telemetry import Telemetry
 from carobspool_node.direct._upstream_calls import UpstreamConnections
 from carobspool_node.direct._view_exchange import ViewExchange
-from carobspool_node.organisations import TOLD_IN_ANNOUNCEMENTS_FOR, CallerAccess, RequestQuota
+from carobspool_node.organisations import (
+    ANNOUNCEMENT_RESEND_TIME,
+    CallerAuthenticator,
+    RequestQuota,
+)
 
 CALLER_WORKERS = 400
 PEER_WORKERS = 100
@@ -84,22 +88,22 @@
         self._loads = LoadTable(self._clock, settings.failure_domain, name=settings.node)
         self._connections = UpstreamConnections(self._clock)
         self._peer_caller = PeerCaller(self._clock)
-        self._quota = RequestQuota(self._clock, neighbours=lambda: self._peers.neighbours())
+        self._quota = RequestQuota(self._clock, known_peers=lambda: self._peers.known_peers())
         self._peers = Peers(
             self._clock,
             self._telemetry,
             name=settings.node,
             incarnation=self._incarnation,
             address=(settings.address, settings.peer_port),
-            own=OwnState(
+            own=HintSources(
                 loads=self._loads.own_loads,
                 backlog=lambda: self._runner.backlog(),
                 urgent=self._urgent_state,
                 describe=self._own_hint,
-                shares_upstreams=lambda: self._neighbourhood.peers(),
+                upstream_sharers=lambda: self._group_assignment.group_members(),
                 identities_by_key=lambda: self._declared.identities_by_key(),
-                has_untold_counts=lambda: self._quota.has_untold,
-                counts_to_tell=lambda is_heartbeat: self._quota.counts_to_tell(
+                has_unsent_counts=lambda: self._quota.has_unsent_counts,
+                claim_unsent_counts=lambda is_heartbeat: self._quota.claim_unsent_counts(
                     is_heartbeat=is_heartbeat
                 ),
             ),
@@ -111,7 +115,7 @@
             self._telemetry,
             lambda: self._peers,
         )
-        self._declared = Declared(
+        self._declared = DeclaredState(
             self._clock,
             self._store,
             deployment,
@@ -128,9 +132,9 @@
             node=settings.node,
             address=(settings.address, settings.peer_port),
             leaving=self._leaving,
-            store_ok=lambda: self._store.answered_last,
+            store_ok=lambda: self._store.last_call_answered,
         )
-        self._neighbourhood = Neighbourhood(
+        self._group_assignment = GroupAssignment(
             self._clock,
             settings.node,
             members=self._peers.members,
@@ -144,8 +148,8 @@
             items,
             self._telemetry,
             configuration=lambda: self._declared.configuration,
-            usable=self._neighbourhood.near,
-            doubt_until=lambda: self._peers.doubt_until,
+            usable=self._group_assignment.near,
+            ownership_uncertain_until=lambda: self._peers.ownership_uncertain_until,
         )
         bad_records = BadRecords(self._clock, self._telemetry, "job_record", "key")
         records = JobRecords(self._store, settings.value_limit, bad_records)
@@ -154,7 +158,7 @@
             self._clock,
             records,
             settings.job_retention,
-            on_duty=lambda: self._membership.has_duty(RETENTION_DUTY),
+            has_duty=lambda: self._membership.has_duty(RETENTION_DUTY),
         )
         self._exit = EntryExit(
             self._clock,
@@ -169,7 +173,7 @@
             self._runner,
             self._peers,
             self._telemetry,
-            peers_settled=lambda: self._recovery.peers_settled(),
+            are_peers_known=lambda: self._recovery.are_peers_known(),
         )
         self._recovery = JobRecovery(
             self._clock,
@@ -192,14 +196,14 @@
             deployment.headers,
             self._loads,
             self._connections,
-            self._neighbourhood.reach,
+            self._group_assignment.split_upstreams,
             self._telemetry,
             lambda: self._exit.time_left,
         )
-        access = CallerAccess(
+        access = CallerAuthenticator(
             self._clock,
             directory=self._directory,
-            confirm=self._views.confirm_configuration,
+            confirm_configuration=self._views.confirm_configuration,
         )
         self._api = CallerApi(
             self._clock,
@@ -229,16 +233,16 @@
         self._reload.listen()
         serve_metrics((settings.address, settings.metrics_port), self._telemetry, self._clock)
         callers = self._start_listeners()
-        self._loads.on_own_change(self._peers.loads_changed)
+        self._loads.set_own_change_callback(self._peers.schedule_load_hint)
         self._peers.start(
-            PeerEvents(
+            PeerCallbacks(
                 loads=self._adopt_peer_loads,
-                backlog=self._runner.take_backlog,
+                backlog=self._runner.update_peer_backlog,
                 versions=self._compare_versions,
                 lost=self._recovery.peer_lost,
                 gone=self._recovery.peer_gone,
-                ended=self._runner.told_ended,
-                counts=self._quota.receive,
+                ended=self._runner.handle_ended_jobs,
+                counts=self._quota.apply_peer_counts,
             )
         )
         self._declared.start()
@@ -285,8 +289,8 @@
         return callers
 
     def _compare_versions(self, peer: str, versions: Mapping[str, int]) -> None:
-        self._views.compare(peer, versions)
-        self._membership.compare(versions)
+        self._views.pull_newer_views(peer, versions)
+        self._membership.refresh_if_behind(versions)
 
     def _adopt_peer_loads(
         self,
@@ -296,7 +300,7 @@
         knows_starts: bool,
     ) -> None:
         upstreams = () if knows_starts else self._declared.listed()
-        self._loads.take_hint(peer, loads, upstreams, failures, knows_starts=knows_starts)
+        self._loads.apply_hint(peer, loads, upstreams, failures, knows_starts=knows_starts)
 
     def _directory(self) -> OrganisationDirectory | None:
         configuration = self._declared.configuration
@@ -316,7 +320,7 @@
             ended,
         )
         self._telemetry.count("upstream_restarts", service=upstream.service)
-        self._loads.restarted(upstream)
+        self._loads.record_restart(upstream)
 
     def _poll_store(self) -> None:
         """Read the store periodically on behalf of all entries, in case a watch misses a change."""
@@ -338,11 +342,11 @@
             sum(self._loads.own_failures().values()),
             self._leaving.is_set(),
             self._runner.released,
-            self._store.answered_last,
+            self._store.last_call_answered,
         )
 
-    def _own_hint(self) -> OwnHint:
-        return OwnHint(
+    def _own_hint(self) -> AnnouncementContent:
+        return AnnouncementContent(
             loads=self._loads.own_loads(),
             failures=self._loads.own_failures(),
             open_jobs=self._runner.job_ids(finished=False),
@@ -351,18 +355,18 @@
             versions={**self._declared.versions(), **self._membership.versions()},
             leaving=self._leaving.is_set(),
             released=self._runner.released,
-            store_ok=self._store.answered_last,
+            store_ok=self._store.last_call_answered,
             answer_age=self._store.answer_age,
-            counts=self._quota.recent_counts(TOLD_IN_ANNOUNCEMENTS_FOR),
+            counts=self._quota.recent_counts(ANNOUNCEMENT_RESEND_TIME),
             backlog=self._runner.backlog(),
         )
 
     def _clean_up(self) -> None:
         identities = self._declared.identities()
-        self._connections.forget(identities)
-        self._loads.forget(identities)
-        self._quota.tidy()
-        self._peer_caller.forget({peer.identity for peer in self._peers.live()})
+        self._connections.retain_only(identities)
+        self._loads.retain_only(identities)
+        self._quota.drop_idle()
+        self._peer_caller.retain_only({peer.identity for peer in self._peers.live()})
 
     def _caller_limits(self) -> CallerLimits:
         configuration = self._declared.configuration
--- a/packages/node/src/carobspool_node/direct/_item_run.py
+++ b/packages/node/src/carobspool_node/direct/_item_run.py
@@ -8,15 +8,15 @@
 
 from carobspool_core import Clock, Millis
 from carobspool_core.direct import EventSplitter, ItemWork, JobInput, Upstream
-from carobspool_node.direct._errors import DeadlinePassedError, RunCancelledError
+from carobspool_node.direct._errors import CallCancelledError, DeadlinePassedError
 from carobspool_node.direct._in_flight import BatchRun
 from carobspool_node.direct._loads import LoadTable
 from carobspool_node.direct._messages import (
     HeaderNames,
     Headers,
     UpstreamHead,
-    end_to_end,
-    with_organisation,
+    end_to_end_headers,
+    replace_credentials,
 )
 from carobspool_node.direct._upstream_calls import (
     CallFailedError,
@@ -86,15 +86,15 @@
         now = self._clock.now()
         try:
             head = call.start(self._request(job, work, upstream), now + HEAD_TIMEOUT)
-            self._loads.heard(upstream)
+            self._loads.record_activity(upstream)
             return self._read_response(call, head, work, upstream)
         except CallFailedError as error:
-            self._loads.suspect(upstream)
+            self._loads.record_failure(upstream)
             return RunOutcome(end=RunEnd.BROKEN, detail=str(error))
         except DeadlinePassedError:
-            self._loads.suspect(upstream)
+            self._loads.record_failure(upstream)
             return RunOutcome(end=RunEnd.BROKEN, detail="deadline exceeded")
-        except RunCancelledError:
+        except CallCancelledError:
             return RunOutcome(end=RunEnd.INTERRUPTED, detail=run.cancellation.reason)
         finally:
             call.close()
@@ -112,8 +112,8 @@
             call.read_body(deadline)
             return _refusal_outcome(head.status)
         splitter = EventSplitter()
-        for data in call.body(deadline, silence=MAX_EVENT_GAP):
-            self._loads.heard(upstream)
+        for data in call.body(deadline, idle_timeout=MAX_EVENT_GAP):
+            self._loads.record_activity(upstream)
             for event in splitter.feed(data):
                 if event.event_id is None:
                     continue
@@ -121,7 +121,7 @@
                     continue
                 if event.event_id != work.last_event + 1:
                     raise CallFailedError("an event id is missing from the sequence", sent=True)
-                work.texts.append(event.data)
+                work.received_texts.append(event.data)
         if splitter.incomplete:
             raise CallFailedError("the stream ends in the middle of an event", sent=True)
         return RunOutcome(end=RunEnd.COMPLETED)
@@ -131,7 +131,7 @@
         item = work.item
         own = (names.request_id, names.expect_instance, b"host", b"content-length")
         given: Headers = [(key.encode(), value.encode()) for key, value in item.headers.items()]
-        given = with_organisation(end_to_end(given, without=own), names, job.organisation)
+        given = replace_credentials(end_to_end_headers(given, without=own), names, job.organisation)
         headers = [(b"Host", job.host.encode()), *given]
         headers.append((names.request_id, item.item_id.encode()))
         headers.append((names.expect_instance, upstream.instance.encode()))
--- a/packages/node/src/carobspool_node/direct/_job_adoption.py
+++ b/packages/node/src/carobspool_node/direct/_job_adoption.py
@@ -55,7 +55,8 @@
         runner: Runs the owned jobs.
         peers: The other entries.
         telemetry: Counts takeovers and measures how long jobs had no owner.
-        peers_settled: Returns whether this entry has run for long enough to know which peers live.
+        are_peers_known: Returns whether this entry has run for long enough to know which peers
+            live.
     """
 
     def __init__(
@@ -66,14 +67,14 @@
         peers: Peers,
         telemetry: Telemetry,
         *,
-        peers_settled: Callable[[], bool],
+        are_peers_known: Callable[[], bool],
     ) -> None:
         self._clock = clock
         self._catalog = catalog
         self._runner = runner
         self._peers = peers
         self._telemetry = telemetry
-        self._peers_settled = peers_settled
+        self._are_peers_known = are_peers_known
         self._takeover_lock = threading.Lock()
         self._orphans: dict[str, _Orphan] = {}
         self._orphans_lock = threading.Lock()
@@ -114,7 +115,7 @@
         """
         if self._runner.get(job_id) is not None:
             return True
-        settled = self._peers_settled()
+        settled = self._are_peers_known()
         if lost_owner is None and not settled:
             return False
         job = self._catalog.read_input(job_id)
@@ -169,7 +170,7 @@
             elif is_assigned(job_id) or now - orphan.since > FALLBACK_ADOPTION_DELAY:
                 resolved = self.ensure_owner(job_id, orphan.reason, lost_owner=orphan.lost_owner)
                 if resolved and self._runner.get(job_id) is not None:
-                    self._telemetry.time("job_orphan", self._clock.now() - orphan.since)
+                    self._telemetry.observe_duration("job_orphan", self._clock.now() - orphan.since)
             else:
                 resolved = False
             if resolved:
@@ -229,7 +230,7 @@
             self.add_orphans([job_id], "recovered")
 
     def _has_owner(self, job_id: str) -> bool:
-        return self._runner.get(job_id) is not None or self._peers.holder_of(job_id) is not None
+        return self._runner.get(job_id) is not None or self._peers.find_job_peer(job_id) is not None
 
     def _take_over(self, job: JobInput, state: StoredProgress, reason: str) -> bool:
         """Become the owner of a job unless it has a live owner; return whether it has one now."""
@@ -260,4 +261,4 @@
 
     def _is_owned_by_live_peer(self, owner: str, job_id: str) -> bool:
         peer = self._peers.by_identity(owner)
-        return peer is not None and peer.answers_for(job_id)
+        return peer is not None and peer.serves_job(job_id)
--- a/packages/node/src/carobspool_node/direct/_job_records.py
+++ b/packages/node/src/carobspool_node/direct/_job_records.py
@@ -31,7 +31,7 @@
 )
 from carobspool_core.problems import Problem, UnusableRecordError
 from carobspool_core.records import Record, ValidatedBy, field, read_record
-from carobspool_node.direct._bad_records import BadRecords, shown
+from carobspool_node.direct._bad_records import BadRecords, printable_text
 
 INPUTS = "jobs/"
 PROGRESS = "progress/"
@@ -217,7 +217,7 @@
         removed = self._store.delete(stored.key, version=stored.version)
         if not is_successful(removed):
             return removed.failure()
-        for name, count in _named_pieces(stored.value):
+        for name, count in referenced_pieces(stored.value):
             for number in range(count):
                 self._remove_piece(f"{PIECES}{name}.{number}")
         return None
@@ -258,14 +258,16 @@
 
     def _report_unreadable(self, key: str, error: UnusableRecordError) -> Failure[StoreFailure]:
         if self._bad_records is not None:
-            self._bad_records.note(key, error)
+            self._bad_records.report_if_changed(key, error)
         else:
-            logging.warning("event=bad_job_record key=%s reason=%r", shown(key, 80), str(error))
+            logging.warning(
+                "event=bad_job_record key=%s reason=%r", printable_text(key, 80), str(error)
+            )
         return Failure(StoreFailure(fault=StoreFault.UNREADABLE, key=key, detail=str(error)))
 
     def _report_readable(self, key: str) -> None:
         if self._bad_records is not None:
-            self._bad_records.mended(key)
+            self._bad_records.report_valid(key)
 
     def _read_pieces(self, name: str, count: int) -> Result[str, StoreFailure]:
         """Return the text of a long record, joined from its pieces.
@@ -329,7 +331,7 @@
     return tuple(found)
 
 
-def _named_pieces(value: Json) -> list[tuple[str, int]]:
+def referenced_pieces(value: Json) -> list[tuple[str, int]]:
     """Return the name and number of the pieces that a record references.
 
     An unusable record yields none, and its pieces stay in the store.
@@ -341,7 +343,7 @@
         if isinstance(value, dict):
             return [(each.name, each.pieces) for each in _segments(value)]
     except UnusableRecordError as error:
-        logging.warning("event=pieces_not_removed reason=%r", shown(str(error), 300))
+        logging.warning("event=pieces_not_removed reason=%r", printable_text(str(error), 300))
     return []
 
 
--- a/packages/node/src/carobspool_node/direct/_job_recovery.py
+++ b/packages/node/src/carobspool_node/direct/_job_recovery.py
@@ -14,8 +14,7 @@
 
 from absl import logging
 
-from carobspool_core import Clock, Millis
-from carobspool_core import owner as rendezvous_owner
+from carobspool_core import Clock, Millis, preferred_node
 from carobspool_core.direct import DEAD_AFTER
 from carobspool_node.direct._job_adoption import JobAdoption
 from carobspool_node.direct._job_runner import JobRunner
@@ -81,7 +80,7 @@
             threading.Thread(target=self._recover_after_start, name="recover", daemon=True).start()
         threading.Thread(target=self._adopt_orphans, name="orphans", daemon=True).start()
 
-    def peers_settled(self) -> bool:
+    def are_peers_known(self) -> bool:
         """Whether this entry has run for long enough to know which peers live."""
         return self._clock.now() - self._started >= SETTLE_TIME
 
@@ -127,7 +126,7 @@
     def _is_assigned_here(self, job_id: str) -> bool:
         nodes = [peer.name for peer in self._peers.live() if not peer.leaving]
         nodes.append(self._node)
-        return rendezvous_owner(job_id, nodes) == self._node
+        return preferred_node(job_id, nodes) == self._node
 
     def _adopt_orphans(self) -> None:
         while not self._leaving.is_set():
--- a/packages/node/src/carobspool_node/direct/_job_runner.py
+++ b/packages/node/src/carobspool_node/direct/_job_runner.py
@@ -11,17 +11,17 @@
 
 from carobspool_core import Clock, Millis, wall_millis
 from carobspool_core.direct import (
-    Backlog,
     Configuration,
-    ItemEnd,
-    ItemPace,
+    ItemDurationEstimate,
+    ItemOutcome,
     ItemWork,
+    PeerBacklog,
     Route,
     Upstream,
     WaitingGroup,
-    group_waiting,
+    group_by_start_order,
 )
-from carobspool_core.organisations import waiting_key
+from carobspool_core.organisations import waiting_tokens_key
 from carobspool_node.direct._in_flight import BatchRun
 from carobspool_node.direct._item_order import WaitingItem, order_waiting_items
 from carobspool_node.direct._item_run import ItemRunner, RunEnd, RunOutcome
@@ -58,7 +58,8 @@
         telemetry: Counts runs, verifications and changes of owners; measures runs and commits.
         configuration: Returns the current routes, ``None`` before they are known.
         usable: Returns the upstreams of a service that this entry may use.
-        doubt_until: Returns until when other entries may have taken over or ended jobs of this one.
+        ownership_uncertain_until: Returns until when other entries may have taken over or ended
+            jobs of this one.
     """
 
     def __init__(
@@ -70,7 +71,7 @@
         *,
         configuration: Callable[[], Configuration | None],
         usable: Callable[[str], Sequence[Upstream]],
-        doubt_until: Callable[[], Millis],
+        ownership_uncertain_until: Callable[[], Millis],
     ) -> None:
         self._clock = clock
         self._loads = loads
@@ -78,7 +79,7 @@
         self._telemetry = telemetry
         self._configuration = configuration
         self._usable = usable
-        self._doubt_until = doubt_until
+        self._ownership_uncertain_until = ownership_uncertain_until
         self._lock = threading.Lock()
         self._jobs: dict[str, OwnedJob] = {}
         self._wake = threading.Event()
@@ -90,8 +91,8 @@
         self._committing: set[str] = set()
         self._verifying: set[str] = set()
         self._released: frozenset[str] = frozenset()
-        self._pace = ItemPace()
-        self._backlog = Backlog()
+        self._pace = ItemDurationEstimate()
+        self._backlog = PeerBacklog()
         self._backlog_lock = threading.Lock()
         self._waiting: Sequence[WaitingItem] = ()
 
@@ -102,7 +103,7 @@
 
     def start(self) -> None:
         """Start the scheduling loop."""
-        self._loads.on_room(self._wake.set)
+        self._loads.set_departure_callback(self._wake.set)
         threading.Thread(target=self._loop, name="jobs", daemon=True).start()
 
     def stop(self, timeout: Millis) -> None:
@@ -113,11 +114,11 @@
         """
         self._stopped.set()
         self._wake.set()
-        self.let_go(timeout)
+        self.release_unfinished_jobs(timeout)
         for job in self.owned():
             job.mark_lost()
 
-    def let_go(self, timeout: Millis) -> None:
+    def release_unfinished_jobs(self, timeout: Millis) -> None:
         """Commit the progress of the unfinished jobs and release them to other entries.
 
         Args:
@@ -157,7 +158,7 @@
         jobs = self.owned()
         return frozenset(job.job_id for job in jobs if job.finished is finished and not job.lost)
 
-    def told_ended(self, job_ids: Iterable[str]) -> None:
+    def handle_ended_jobs(self, job_ids: Iterable[str]) -> None:
         """Handle a peer's report that jobs were ended in the store, by verifying each at once."""
         for job_id in job_ids:
             job = self.get(job_id)
@@ -167,15 +168,15 @@
     def backlog(self) -> Sequence[WaitingGroup]:
         """Return the waiting items of this entry, grouped for the hints to its peers."""
         wall = wall_millis()
-        return group_waiting(each.turn_at(wall) for each in self._waiting)
+        return group_by_start_order(each.start_order_at(wall) for each in self._waiting)
 
-    def take_backlog(self, peer: str, groups: Sequence[WaitingGroup]) -> None:
+    def update_peer_backlog(self, peer: str, groups: Sequence[WaitingGroup]) -> None:
         """Record the waiting items that a peer reports."""
         with self._backlog_lock:
-            self._backlog.take(peer, groups, self._clock.now())
+            self._backlog.update_peer(peer, groups, self._clock.now())
 
     def waiting_tokens(self) -> dict[str, int]:
-        """Return the tokens of unfinished items by route and organisation (`waiting_key`)."""
+        """Return the unfinished items' tokens by route and organisation (`waiting_tokens_key`)."""
         configuration = self._configuration()
         found: dict[str, int] = {}
         if configuration is None:
@@ -184,7 +185,7 @@
             route = configuration.route_for(job.input.host, job.input.path)
             if route is None or job.finished:
                 continue
-            key = waiting_key(route.name, job.input.organisation)
+            key = waiting_tokens_key(route.name, job.input.organisation)
             with job.lock:
                 found[key] = found.get(key, 0) + job.work.waiting_tokens
         return found
@@ -224,7 +225,7 @@
         try:
             done = job.commit()
             took = self._clock.now() - started
-            self._telemetry.time("job_commit", took)
+            self._telemetry.observe_duration("job_commit", took)
             with job.lock:
                 committed = len(job.work.committed)
                 left = len(job.work.open_items())
@@ -262,7 +263,7 @@
             return True
         if not self._may_start_items(job):
             return True
-        upstreams = self._usable(route.service_for(work.item.item_id))
+        upstreams = self._usable(route.choose_service(work.item.item_id))
         if not self._is_ahead_of_peers(waiting, upstreams):
             return False
         placed = self._loads.place_batch(upstreams, urgency=waiting.urgency, due=waiting.due)
@@ -277,17 +278,19 @@
 
     def _is_ahead_of_peers(self, waiting: WaitingItem, upstreams: Sequence[Upstream]) -> bool:
         """Whether there is capacity for an item beyond what more urgent items of peers need."""
-        turn = waiting.turn_at(wall_millis())
-        room = self._loads.room_for_batch(upstreams, urgency=waiting.urgency)
+        start_order = waiting.start_order_at(wall_millis())
+        free_slots = self._loads.free_batch_slots(upstreams, urgency=waiting.urgency)
         with self._backlog_lock:
-            return self._backlog.may_start(turn, room=room, now=self._clock.now())
+            return self._backlog.may_start(
+                start_order, free_slots=free_slots, now=self._clock.now()
+            )
 
     def _is_past_retention(self, job: OwnedJob, route: Route) -> bool:
         return bool(route.retention) and wall_millis() - job.input.submitted >= route.retention
 
     def _dead_letter(self, job: OwnedJob, work: ItemWork, reason: str) -> None:
         with job.lock:
-            job.work.finish(work, ItemEnd.DEAD)
+            job.work.finish(work, ItemOutcome.DEAD)
         self._count_item(job, work, "dead", reason, None, None)
 
     def _may_start_items(self, job: OwnedJob) -> bool:
@@ -295,7 +298,10 @@
         if job.releasing:
             return False
         if (
-            job.proof.is_valid(doubt_until=self._doubt_until(), max_age=START_PROOF_MAX_AGE)
+            job.proof.is_valid(
+                ownership_uncertain_until=self._ownership_uncertain_until(),
+                max_age=START_PROOF_MAX_AGE,
+            )
             or job.proof.is_in_grace
         ):
             return not job.lost
@@ -342,9 +348,9 @@
                 before = work.last_event
                 outcome = self._runner.run(job.input, work, upstream, run)
                 events = work.last_event - before
-                self._pace.ran(events=events, duration=self._clock.now() - started)
+                self._pace.record_run(events=events, duration=self._clock.now() - started)
             self._apply_outcome(job, work, route, outcome)
-            self._telemetry.time("item_run", self._clock.now() - started)
+            self._telemetry.observe_duration("item_run", self._clock.now() - started)
             self._count_item(job, work, outcome.end.value, outcome.detail, upstream, run)
         except Exception:  # noqa: BLE001
             logging.exception("event=item_failed job=%s item=%s", job.job_id, work.item.item_id)
@@ -362,13 +368,13 @@
         now = self._clock.now()
         with job.lock:
             if outcome.end is RunEnd.COMPLETED:
-                self._pace.ended(events=work.last_event)
-                job.work.finish(work, ItemEnd.COMPLETED)
+                self._pace.record_item(events=work.last_event)
+                job.work.finish(work, ItemOutcome.COMPLETED)
             elif outcome.end is RunEnd.FAILED:
-                work.restart()
-                job.work.failed(work, max_attempts=route.max_attempts)
+                work.discard_received()
+                job.work.record_failed_run(work, max_attempts=route.max_attempts)
             elif outcome.end is RunEnd.REJECTED:
-                job.work.rejected(work)
+                job.work.record_rejection(work)
             elif outcome.end is RunEnd.NOT_RUN:
                 work.not_before = now + NOT_RUN_RETRY_DELAY
             elif outcome.end is RunEnd.BROKEN:
--- a/packages/node/src/carobspool_node/direct/_request_endings.py
+++ b/packages/node/src/carobspool_node/direct/_request_endings.py
@@ -7,9 +7,9 @@
 from absl import logging
 
 from carobspool_core import Clock, Millis
-from carobspool_core.direct import return_after
-from carobspool_node.direct._attempt import RequestState
+from carobspool_core.direct import retry_delay
 from carobspool_node.direct._failure_answer import failure_answer
+from carobspool_node.direct._request_state import RequestState
 from carobspool_node.direct._telemetry import Telemetry
 
 NO_UPSTREAM_RETRY_AFTER: Millis = 1_000.0
@@ -63,7 +63,7 @@
         """Log and count a request's outcome; ``status`` is 0 if its answer was not completed."""
         took = self._clock.now() - state.request.arrived
         self._telemetry.count("requests", route=state.route.kind.value, outcome=outcome)
-        self._telemetry.time("request", took)
+        self._telemetry.observe_duration("request", took)
         logging.info(
             "event=request request=%s route=%s outcome=%s status=%d runs=%d turned_away=%d"
             " upstreams=%s took_ms=%.0f failure=%r",
@@ -79,7 +79,7 @@
         )
 
     def _retry_after(self, state: RequestState) -> Millis:
-        return return_after(random.random(), state.deadline - self._clock.now())
+        return retry_delay(random.random(), state.deadline - self._clock.now())
 
     def _fail(
         self, state: RequestState, status: int, outcome: str, retry_after: Millis | None
--- a/packages/node/src/carobspool_node/jobs/_job_results.py
+++ b/packages/node/src/carobspool_node/jobs/_job_results.py
@@ -28,8 +28,8 @@
     StoreFault,
     add_counts,
     broken_upstream,
-    read_chunk,
-    spans_of,
+    chunk_from_json,
+    spans_from_indexes,
 )
 from carobspool_node.errors import ContentUnavailableError
 from carobspool_node.store import MAX_PACKED_CHARACTERS, pack, unpack
@@ -103,7 +103,7 @@
     good = [each for each in ordered if not each.failed]
     bad = [each for each in ordered if each.failed]
     part = ResultPart(
-        spans=spans_of(each.index for each in ordered),
+        spans=spans_from_indexes(each.index for each in ordered),
         completed=len(good),
         failed=len(bad),
         output_bytes=_size(good),
@@ -156,7 +156,7 @@
             if found.failure().fault is StoreFault.NOT_FOUND:
                 continue
             raise ContentUnavailableError(f"chunk {number} of {job.id} cannot be read")
-        results = chunk_results(store, read_chunk(found.unwrap().value))
+        results = chunk_results(store, chunk_from_json(found.unwrap().value))
         if isinstance(results, Failure):
             raise ContentUnavailableError(f"results of chunk {number} of {job.id} cannot be read")
         lines = [each.line + "\n" for each in results.unwrap() if each.failed is failed]
--- a/packages/node/src/carobspool_node/jobs/_job_works.py
+++ b/packages/node/src/carobspool_node/jobs/_job_works.py
@@ -5,7 +5,7 @@
 from collections import deque
 from collections.abc import Callable, Iterable, Mapping
 
-from carobspool_core import Clock, Holder, Job, JobCounts, Millis, owner
+from carobspool_core import ChunkHolder, Clock, Job, JobCounts, Millis, preferred_node
 from carobspool_node.jobs._job_work import JobWork
 from carobspool_node.jobs._runner_ports import ChunkDone
 
@@ -23,14 +23,14 @@
     """
 
     def __init__(
-        self, holder: Holder, clock: Clock, tell_done: Callable[[str, ChunkDone], None]
+        self, holder: ChunkHolder, clock: Clock, tell_done: Callable[[str, ChunkDone], None]
     ) -> None:
         self._holder = holder
         self._clock = clock
         self._tell_done = tell_done
         self._works: dict[str, JobWork] = {}
         self._live: tuple[str, ...] = ()
-        self._holding: tuple[str, ...] = ()
+        self._lease_holders: tuple[str, ...] = ()
         self._looked_at: Millis = clock.now()
         self._early: deque[ChunkDone] = deque(maxlen=MAX_EARLY)
 
@@ -49,7 +49,7 @@
         jobs: Iterable[Job],
         live: tuple[str, ...],
         *,
-        holding: tuple[str, ...],
+        lease_holders: tuple[str, ...],
         now: Millis,
     ) -> None:
         """Bring works and live entries up to date.
@@ -61,7 +61,7 @@
         Args:
             jobs: The open jobs.
             live: Names of the live entries.
-            holding: Names of the entries that may hold claims, leaving ones included.
+            lease_holders: Names of the entries that may hold claims, leaving ones included.
             now: The clock's instant in milliseconds.
         """
         open_jobs = {job.id: job for job in jobs}
@@ -74,10 +74,10 @@
             del self._works[job_id]
         if live != self._live:
             self._tell_new_coordinators(live)
-        elif holding == self._holding and now - self._looked_at < LOOK_AGAIN_INTERVAL:
+        elif lease_holders == self._lease_holders and now - self._looked_at < LOOK_AGAIN_INTERVAL:
             return
         self._live = live
-        self._holding = holding
+        self._lease_holders = lease_holders
         self._looked_at = now
         for work in self._works.values():
             work.look_again()
@@ -97,7 +97,7 @@
         work = self._works.get(job_id)
         if work is not None:
             work.mark_finished_here(number, counts)
-        coordinator = owner(job_id, self._live)
+        coordinator = preferred_node(job_id, self._live)
         if coordinator is not None and coordinator != self._holder.node:
             self._tell_done(coordinator, ChunkDone(job=job_id, chunk=number, counts=counts))
 
@@ -114,10 +114,10 @@
         coordinator, after the next one has read the chunks, and the job would seem stuck.
         """
         for job_id, work in self._works.items():
-            coordinator = owner(job_id, live)
+            coordinator = preferred_node(job_id, live)
             if coordinator is None or coordinator == self._holder.node:
                 continue
-            if coordinator == owner(job_id, self._live):
+            if coordinator == preferred_node(job_id, self._live):
                 continue
             for number, counts in work.finished_here.items():
                 self._tell_done(coordinator, ChunkDone(job=job_id, chunk=number, counts=counts))
--- a/packages/node/src/carobspool_node/links/_hints.py
+++ b/packages/node/src/carobspool_node/links/_hints.py
@@ -14,9 +14,9 @@
 from absl import logging
 
 from carobspool_core import (
-    Beat,
     Clock,
     Configuration,
+    Heartbeat,
     Hint,
     HintKind,
     Message,
@@ -150,7 +150,7 @@
     def tick(self) -> None:
         """Send heartbeats and close connections that have fallen silent."""
         now = self._clock.now()
-        self.broadcast(Beat(sent=now))
+        self.broadcast(Heartbeat(sent=now))
         with self._lock:
             silent = [link for link, at in self._heard.items() if now - at > SILENCE_LIMIT]
         for link in silent:
@@ -207,13 +207,13 @@
 
     def _is_new(self, hint: Hint) -> bool:
         with self._lock:
-            return self._gossip.is_new(hint)
+            return self._gossip.record_if_new(hint)
 
     def _spread(self, hint: Hint, *, source: str | None = None) -> None:
         """Pass a hint on to as many entries as its urgency and the budget of bytes allow."""
         with self._lock:
             links = {link.peer.node: link for link in self._links}
-            chosen = self._gossip.links_for(
+            chosen = self._gossip.choose_links(
                 hint, sorted(links), _size(hint), self._clock.now(), source=source
             )
         for node in chosen:
--- a/packages/node/src/carobspool_node/upstreams/_sidecar.py
+++ b/packages/node/src/carobspool_node/upstreams/_sidecar.py
@@ -15,13 +15,14 @@
 from returns.pipeline import is_successful
 
 from carobspool_core import (
+    AdmissionRequest,
     Attach,
-    Beat,
     Cancel,
     Clock,
     Configuration,
     End,
     Failure,
+    Heartbeat,
     Hint,
     HintKind,
     Message,
@@ -31,7 +32,6 @@
     Priority,
     RequestId,
     SidecarState,
-    Work,
     broken_upstream,
     unavailable,
 )
@@ -239,7 +239,7 @@
         if isinstance(message, Attach):
             self._attach(message)
             return
-        if isinstance(message, Beat):
+        if isinstance(message, Heartbeat):
             link.age(message.sent, self._clock.now())
             return
         if isinstance(message, Configuration):
@@ -274,9 +274,9 @@
             return unavailable("upstream_down", "the upstream is down", retry_after_ms=1000.0)
         return None
 
-    def _work(self, message: Open) -> Work:
+    def _work(self, message: Open) -> AdmissionRequest:
         deadline = self._clock.now() + message.timeout
-        return Work(
+        return AdmissionRequest(
             id=message.id,
             priority=message.priority,
             caller=message.caller,
@@ -319,7 +319,7 @@
             run.end_waiting(_STALLED, now)
         if run is None or not run.begin(now):
             self._engine.forget(identity)
-            self._scheduler.finished(identity)
+            self._scheduler.record_end(identity)
             return
         self._pool.submit(self._engine.run, run)
 
@@ -340,7 +340,7 @@
     def _end_waiting(self, run: Run, failure: Failure) -> bool:
         if not run.end_waiting(failure, self._clock.now()):
             return False
-        self._scheduler.cancelled(run.open.id)
+        self._scheduler.cancel(run.open.id)
         self._engine.forget(run.open.id)
         return True
 
@@ -365,7 +365,7 @@
         interval = self._options.heartbeat
         while not self._stopped.wait(interval / 1000.0):
             now = self._clock.now()
-            self._links.broadcast(Beat(sent=now))
+            self._links.broadcast(Heartbeat(sent=now))
             self._runs.expire(now)
             self._cancel_orphans()
 
--- a/packages/node/tests/test_direct_foreign_jobs.py
+++ b/packages/node/tests/test_direct_foreign_jobs.py
@@ -10,7 +10,14 @@
 from returns.result import Success
 
 from carobspool_core import Json, StoreFault
-from carobspool_core.direct import ItemEnd, ItemResult, JobInput, JobItem, JobProgress, job_to_json
+from carobspool_core.direct import (
+    ItemOutcome,
+    ItemResult,
+    JobInput,
+    JobItem,
+    JobProgress,
+    job_to_json,
+)
 from carobspool_node.direct._job_adoption import JobAdoption
 from carobspool_node.direct._job_catalog import JobCatalog
 from carobspool_node.direct._job_records import INPUTS, PROGRESS, JobRecords
@@ -72,7 +79,7 @@
 
     identity = "e1#2"
 
-    def holder_of(self, job_id: str) -> None:
+    def find_job_peer(self, job_id: str) -> None:
         return None
 
     def by_identity(self, identity: str) -> None:
@@ -94,7 +101,7 @@
             self.runner,  # type: ignore[arg-type]
             _Peers(),  # type: ignore[arg-type]
             Telemetry(),
-            peers_settled=lambda: True,
+            are_peers_known=lambda: True,
         )
 
     def write(self, prefix: str, values: Iterable[Json]) -> None:
@@ -126,13 +133,13 @@
     done = JobProgress(
         owner="e#1",
         total=1,
-        results=(ItemResult(item_id="zzz-i", end=ItemEnd.COMPLETED, text="t"),),
+        results=(ItemResult(item_id="zzz-i", outcome=ItemOutcome.COMPLETED, text="t"),),
     )
     assert is_successful(system.records.create_input(_job("done")))
     assert is_successful(system.records.write_progress("done", done, version=0))
     assert system.adoption.take_over_stored_jobs(lambda job_id, owner: True)
     assert set(system.runner.jobs) == {"aaa", "zzz"}
-    retention = JobRetention(system.clock, system.records, RETENTION, on_duty=lambda: True)
+    retention = JobRetention(system.clock, system.records, RETENTION, has_duty=lambda: True)
     removed = []
     for sweep in (1, 2):
         system.clock.at = sweep * (RETENTION + 1.0)
@@ -173,7 +180,7 @@
     assert is_successful(system.records.write_progress("j", progress, version=0))
     store = _UnreadableNamesStore(system.store)
     records = JobRecords(store, 10_000)  # type: ignore[arg-type]
-    retention = JobRetention(system.clock, records, RETENTION, on_duty=lambda: True)
+    retention = JobRetention(system.clock, records, RETENTION, has_duty=lambda: True)
     for sweep in (1, 2, 3):
         system.clock.at = sweep * (RETENTION + 1.0)
         assert retention.sweep_if_due() == 0
--- a/packages/node/tests/test_direct_retention.py
+++ b/packages/node/tests/test_direct_retention.py
@@ -6,7 +6,7 @@
 from msgspec.structs import replace
 from returns.pipeline import is_successful
 
-from carobspool_core.direct import ItemEnd, ItemResult, JobInput, JobItem, JobProgress
+from carobspool_core.direct import ItemOutcome, ItemResult, JobInput, JobItem, JobProgress
 from carobspool_node.direct._job_records import JobRecords
 from carobspool_node.direct._job_retention import JobRetention
 from carobspool_standins.memory_store import FaultKind, FaultRule, MemoryObjects, MemoryStore
@@ -30,9 +30,9 @@
         self.store = MemoryStore(self.objects, "e1")
         self.records = JobRecords(self.store, 10_000)
         self.clock = _Clock()
-        self.on_duty = True
+        self.has_duty = True
         self.retention = JobRetention(
-            self.clock, self.records, RETENTION, on_duty=lambda: self.on_duty
+            self.clock, self.records, RETENTION, has_duty=lambda: self.has_duty
         )
 
     def job(self, job_id: str, *, done: int, ended: bool = False, text: str = "t") -> None:
@@ -44,7 +44,7 @@
         job = JobInput(job_id=job_id, host="h", path="/p", owner="e#1", submitted=0.0, items=items)
         assert is_successful(self.records.create_input(job))
         results = tuple(
-            ItemResult(item_id=each.item_id, end=ItemEnd.COMPLETED, text=text)
+            ItemResult(item_id=each.item_id, outcome=ItemOutcome.COMPLETED, text=text)
             for each in items[:done]
         )
         progress = JobProgress(owner="e#1", total=2, ended=ended, results=results)
@@ -55,7 +55,7 @@
         return self.retention.sweep_if_due()
 
     def stored(self) -> set[str]:
-        return set(self.objects.texts)
+        return set(self.objects.json_by_key)
 
 
 @pytest.fixture
@@ -86,9 +86,9 @@
 
 def test_entry_that_is_not_on_duty_removes_nothing(system: _System) -> None:
     system.job("j", done=2)
-    system.on_duty = False
+    system.has_duty = False
     assert (system.sweep_at(121), system.sweep_at(242)) == (0, 0)
-    system.on_duty = True
+    system.has_duty = True
     assert system.sweep_at(363) == 0
     assert system.sweep_at(484) == 1
 
--- a/packages/node/tests/test_job_intake.py
+++ b/packages/node/tests/test_job_intake.py
@@ -13,7 +13,7 @@
 from openai.types import Batch, FileObject
 from returns.result import Failure, Result, Success
 
-from carobspool_core import BatchShaping, Job, Json, ObjectStore, read_job
+from carobspool_core import BatchShaping, Job, Json, ObjectStore, job_from_json
 from carobspool_core import Failure as RequestFailure
 from carobspool_node.jobs._files import create_file, file_content, get_file
 from carobspool_node.jobs._job_input import cut_chunks, input_lines, parse_line, read_items
@@ -124,7 +124,7 @@
     assert (failure.status, failure.code) == (400, code)
     assert failure.message.startswith("Line 3:")
     assert text in failure.message
-    assert not [key for key in objects.texts if key.startswith(("jobs/", "inputs/", "open/"))]
+    assert not [key for key in objects.json_by_key if key.startswith(("jobs/", "inputs/", "open/"))]
 
 
 def test_limits(store: MemoryStore) -> None:
@@ -148,7 +148,7 @@
         with ThreadPoolExecutor(3) as pool:
             jobs = list(pool.map(send, stores, files))
         assert len({job.unwrap().id for job in jobs}) == 1
-    assert len([key for key in objects.texts if key.startswith("jobs/")]) == 2
+    assert len([key for key in objects.json_by_key if key.startswith("jobs/")]) == 2
 
 
 def test_key_with_other_content(objects: MemoryObjects, store: MemoryStore) -> None:
@@ -193,11 +193,11 @@
     file = _file(store, *map(_line, range(25)))
     first = _submit(store, file, key="k")
     if isinstance(first, Success):
-        assert read_job(objects.value(f"jobs/{first.unwrap().id}")) == first.unwrap()
+        assert job_from_json(objects.value(f"jobs/{first.unwrap().id}")) == first.unwrap()
     else:
         assert first.failure().status == 503
     again = _submit(store, file, key="k").unwrap()
-    assert read_job(objects.value(f"jobs/{again.id}")) == again
+    assert job_from_json(objects.value(f"jobs/{again.id}")) == again
     assert sum(again.chunk_sizes) == 25
 
 
--- a/packages/node/tests/test_job_runner_faults.py
+++ b/packages/node/tests/test_job_runner_faults.py
@@ -9,7 +9,7 @@
 import pytest
 from _job_fleet import TTL, Fleet, Node, assert_whole, until
 
-from carobspool_core import JobStatus, owner
+from carobspool_core import JobStatus, preferred_node
 from carobspool_standins.memory_store import FaultKind, FaultRule
 
 
@@ -39,7 +39,7 @@
     job = fleet.submit(160)
     until(lambda: len(fleet.holders()) == 2)
     fleet.nodes["b"].freeze()
-    until(lambda: fleet.nodes["a"].members.live() == ("a",))
+    until(lambda: fleet.nodes["a"].members.available_nodes() == ("a",))
     time.sleep(1.2)
     fleet.nodes["b"].thaw()
     assert fleet.wait_for_end(job).status is JobStatus.COMPLETED
@@ -91,7 +91,7 @@
     Each is met by the threads that serve all jobs; an exception there would end the work on all.
     """
     spoilt = fleet.submit(50, key="spoilt")
-    version = fleet.objects.texts[f"inputs/{spoilt.input_id}/000000"][0]
+    version = fleet.objects.json_by_key[f"inputs/{spoilt.input_id}/000000"][0]
     fleet.client.update(f"inputs/{spoilt.input_id}/000000", {"packed": "!"}, version=version)
     for key in ("open/x", "open/y", "nodes/x", "jobs/x"):
         fleet.client.create(key, {"damaged": True}).unwrap()
@@ -117,7 +117,7 @@
     fleet.upstreams.delay = 0.03
     job = fleet.submit(300)
     until(lambda: len(fleet.holders()) == 3 and fleet.job(job.id).counts.completed > 0)
-    name = owner(job.id, ("a", "b", "c"))
+    name = preferred_node(job.id, ("a", "b", "c"))
     assert name is not None
     if fault == "kill":
         fleet.nodes[name].kill()
--- a/tests/adapter/border_cases.py
+++ b/tests/adapter/border_cases.py
@@ -26,7 +26,7 @@
 )
 from carobspool_core.problems import UnusableRecordError
 from carobspool_core.records import read_record
-from carobspool_node.direct._job_records import _named_pieces, _segments
+from carobspool_node.direct._job_records import _segments, referenced_pieces
 from carobspool_node.direct._peer_messages import (
     Announcement,
     EndCall,
@@ -36,7 +36,7 @@
     read_results,
     read_store_call,
 )
-from carobspool_node.direct._store_relay import _decode, _encode
+from carobspool_node.direct._store_relay import decode_store_result, encode_store_result
 from carobspool_platform._configuration import read_configuration
 from carobspool_platform._registrations import MAX_SLOTS, read_upstream
 from carobspool_platform._store_answers import (
@@ -238,7 +238,7 @@
     found = read_configuration(value)
     found.route_for("h", "/p/x")
     for route in found.routes:
-        route.service_for("key")
+        route.choose_service("key")
 
 
 def _check_progress(value: Json) -> None:
@@ -247,7 +247,7 @@
 
 
 def _check_pieces(value: Json) -> None:
-    for name, count in _named_pieces(value):
+    for name, count in referenced_pieces(value):
         assert isinstance(name, str) and count <= 10_000
 
 
@@ -266,8 +266,8 @@
 
 
 def _check_relayed(data: bytes) -> None:
-    found = _decode("servers/", decode_cbor(data))
-    cbor2.dumps(_encode(found))
+    found = decode_store_result("servers/", decode_cbor(data))
+    cbor2.dumps(encode_store_result(found))
 
 
 def _check_listing(data: bytes) -> None:
@@ -342,7 +342,11 @@
     "peer call": (_check_call, broken_cbor(*CALLS) | st.binary(max_size=64), _tolerate),
     "peer call fields": (read_store_call, near(*CALLS) | VALUES, _tolerate),
     "relayed": (_check_relayed, broken_cbor(RELAYED) | st.binary(max_size=64), _tolerate),
-    "relayed fields": (lambda value: _decode("servers/", value), near(RELAYED), _tolerate),
+    "relayed fields": (
+        lambda value: decode_store_result("servers/", value),
+        near(RELAYED),
+        _tolerate,
+    ),
     "listing": (_check_listing, broken_json(PAGE) | st.binary(max_size=64), _tolerate_answer),
     "neighbours": (_check_neighbours, broken_json(REGISTRATION) | st.binary(max_size=64), _strict),
     "watch": (_check_watch, broken_json(EVENTS) | st.binary(max_size=64), _tolerate_answer),
--- a/tools/cost_routing.py
+++ b/tools/cost_routing.py
@@ -13,10 +13,11 @@
 from random import Random
 
 from carobspool_core import (
+    DeclaredUpstream,
     Dispatcher,
+    DispatchJob,
     Hint,
     HintKind,
-    JobShare,
     Load,
     LoadOrder,
     ManualClock,
@@ -24,18 +25,17 @@
     Router,
     RouteRequest,
     SidecarState,
-    Subsets,
-    Target,
+    SubsetAssignment,
     UpstreamModels,
     WeightStoreLimits,
     make_dispatcher,
     make_gossip,
     make_retry_policy,
     make_router,
-    make_subsets,
-    make_suspects,
-    owner,
+    make_subset_assignment,
+    make_suspect_table,
     plan_model_loads,
+    preferred_node,
     unavailable,
 )
 
@@ -87,13 +87,13 @@
     router = make_router(ManualClock(), Random(1))
     router.set_upstreams(
         [
-            Target(host=f"up-{n}", failure_domain=f"fd-{n % 15}", targets=("m",))
+            DeclaredUpstream(host=f"up-{n}", failure_domain=f"fd-{n % 15}", targets=("m",))
             for n in range(count)
         ]
     )
     rng = Random(2)
     for n in range(count):
-        router.observe(f"up-{n}", _load(rng.randrange(9_000)), 0.0)
+        router.apply_load_report(f"up-{n}", _load(rng.randrange(9_000)), 0.0)
     return router
 
 
@@ -108,31 +108,34 @@
     _cost("pick, prefix", f"{count} upstreams", 200, lambda n: router.pick(prefixed[n], 1.0))
 
     def one_request(n: int) -> None:
-        router.started("up-1", n, 430, 1.0)
-        router.first_token("up-1", n, 30.0)
-        router.ended("up-1", n, True, 900.0)
+        router.record_start("up-1", n, 430, 1.0)
+        router.record_first_token("up-1", n, 30.0)
+        router.record_end("up-1", n, True, 900.0)
 
     _cost("started + first_token + ended", f"{count} upstreams", 2_000, one_request)
     loads = [_load(n) for n in range(50)]
     _cost(
-        "observe", f"{count} upstreams", 2_000, lambda n: router.observe("up-2", loads[n % 50], 2.0)
+        "observe",
+        f"{count} upstreams",
+        2_000,
+        lambda n: router.apply_load_report("up-2", loads[n % 50], 2.0),
     )
     hosts = [f"up-{n}" for n in range(count)]
-    _cost("rendezvous owner", f"{count} nodes", 100, lambda n: owner(f"k{n}", hosts))
+    _cost("rendezvous owner", f"{count} nodes", 100, lambda n: preferred_node(f"k{n}", hosts))
 
 
 def _dispatcher(count: int) -> Dispatcher:
-    dispatcher = make_dispatcher(ManualClock(), entries=ENTRIES)
+    dispatcher = make_dispatcher(ManualClock(), entry_count=ENTRIES)
     for n in range(count):
-        share = JobShare(
+        share = DispatchJob(
             id=f"job-{n}",
             organisation=f"org-{n % max(1, count // 3)}",
             weight=1.0 + n % 3,
-            due=3_600_000.0 * (1 + n % 24),
+            due_at=3_600_000.0 * (1 + n % 24),
             items_left=100_000,
         )
         dispatcher.add_job(share)
-        dispatcher.offer(share.id, 100_000)
+        dispatcher.add_ready_items(share.id, 100_000)
     return dispatcher
 
 
@@ -147,13 +150,18 @@
         200 * 32,
         _taker(dispatcher),
     )
-    _cost("offer", f"{count} jobs", 2_000, lambda n: dispatcher.offer(f"job-{n % count}", 256))
+    _cost(
+        "offer",
+        f"{count} jobs",
+        2_000,
+        lambda n: dispatcher.add_ready_items(f"job-{n % count}", 256),
+    )
 
 
 def _taker(dispatcher: Dispatcher) -> Callable[[int], object]:
     def take(n: int) -> None:
         if n % 32 == 0:
-            dispatcher.take(32, n * 2.0)
+            dispatcher.assign_credits(32, n * 2.0)
 
     return take
 
@@ -163,10 +171,10 @@
     hosts = [f"up-{n}" for n in range(sidecars)]
     size = f"{ENTRIES} entries, {sidecars} sidecars of a model"
 
-    def fresh(n: int) -> Subsets:
-        subsets = make_subsets()
+    def fresh(n: int) -> SubsetAssignment:
+        subsets = make_subset_assignment()
         subsets.set_members(entries, hosts)
-        subsets.of("entry-9")
+        subsets.sidecars_of("entry-9")
         return subsets
 
     _cost("subset, first time", size, 1, fresh)
@@ -174,7 +182,7 @@
 
     def change(n: int) -> None:
         subsets.set_members(entries[1:] if n % 2 else entries, hosts)
-        subsets.of("entry-9")
+        subsets.sidecars_of("entry-9")
 
     _cost("subset, one entry changed", size, 2, change)
 
@@ -191,7 +199,7 @@
         )
         for n in range(count)
     ]
-    limits = WeightStoreLimits(bytes_per_second=1e9, concurrent=8)
+    limits = WeightStoreLimits(bytes_per_second=1e9, max_concurrent_loads=8)
 
     def plan(n: int) -> list[LoadOrder]:
         return plan_model_loads(fleet, {"m": 10**10}, limits)
@@ -205,12 +213,12 @@
     failure = unavailable("no_upstream", "")
 
     def request_and_failure(n: int) -> None:
-        retry.request()
-        retry.may_retry(failure, True, 1, 1e9, False, float(n))
+        retry.record_request()
+        retry.consume_retry(failure, True, 1, 1e9, False, float(n))
 
     _cost("retry: request + may_retry", "-", 5_000, request_and_failure)
-    suspects = make_suspects(clock)
-    suspects.crashed("up-1", [f"f{n}" for n in range(20_000)], 0.0)
+    suspects = make_suspect_table(clock)
+    suspects.record_crash("up-1", [f"f{n}" for n in range(20_000)], 0.0)
     _cost("suspects: check", "20,000 records", 5_000, lambda n: suspects.check(f"f{n}", 1.0))
     gossip = make_gossip(clock, Random(1))
     links = [f"entry-{n}" for n in range(10)]
@@ -220,8 +228,8 @@
     ]
 
     def pass_on(n: int) -> None:
-        gossip.is_new(hints[n])
-        gossip.links_for(hints[n], links, 100, float(n))
+        gossip.record_if_new(hints[n])
+        gossip.choose_links(hints[n], links, 100, float(n))
 
     _cost("gossip: is_new + links_for", "380 origins, 10 links", 5_000, pass_on)
 
