--- a/packages/core/src/carobspool_core/direct/_backlog.py
+++ b/packages/core/src/carobspool_core/direct/_backlog.py
@@ -8,8 +8,8 @@
 Entries therefore send each other the start orders (sort keys, see `start_order_of`) of their
 waiting items. An entry starts an item only if there are more free slots than items of other entries
 with a lower start order. Items that can no longer be on time also have a start order, behind all
-others: under overload most waiting items are late, and without a start order all entries would
-start one at each slot that becomes free.
+other items: under overload most waiting items are late, and without a start order all entries would
+start a late item at each slot that becomes free.
 """
 
 from __future__ import annotations
@@ -27,8 +27,9 @@
 PEER_REPORT_TTL: Millis = 700.0
 """How long a report of another entry counts; every entry reports at least twice a second."""
 MAX_HOLD_TIME: Millis = 300.0
-"""How long free slots are held for other entries. These learn of the slots from a hint and start
-items within 100 ms, unless they cannot reach the upstreams; the slots would then stay unused."""
+"""How long free slots are held for other entries. The other entries learn of the slots from a hint
+and start items within 100 ms, unless they cannot reach the upstreams; the slots would then stay
+unused."""
 
 
 class WaitingGroup(Struct, frozen=True):
--- a/packages/core/src/carobspool_core/direct/_batch_order.py
+++ b/packages/core/src/carobspool_core/direct/_batch_order.py
@@ -1,10 +1,10 @@
 """Start order of batch items, and how much of the online reserve each item may use.
 
-Load pattern: after a burst of jobs, or a loss of engines or of everything, more items wait than can
-finish by their due time. Strict order by due time then makes every item a little late, one after
-the other. An item that can no longer be on time therefore waits for the items that still can be.
-An item that is running out of time uses more and more of the slots that are otherwise reserved for
-online requests.
+Load pattern: after a burst of jobs, or a loss of engines or of the whole deployment, more items
+wait than can finish by their due time. Strict order by due time then makes every item a little
+late, one after the other. An item that can no longer be on time therefore waits for the items that
+still can be. An item that is running out of time uses more and more of the slots that are otherwise
+reserved for online requests.
 
 A late item that may soon be given up starts before items that have time to spare. It never starts
 before an item that would become late as a result: under lasting overload the two would only swap
--- a/packages/core/src/carobspool_core/direct/_failure_reports.py
+++ b/packages/core/src/carobspool_core/direct/_failure_reports.py
@@ -48,7 +48,7 @@
         """Record the failures that another entry observed since its start.
 
         The first report of a peer is only a baseline and adds no failures: it covers the time
-        before this entry first heard of the peer.
+        before this entry first received the counts of the peer.
         """
         previous_counts = self._peer_counts.get(peer)
         self._peer_counts[peer] = counts
@@ -70,7 +70,7 @@
         return failing_upstreams
 
     def retain_only(self, identities: set[str], peers: set[str]) -> None:
-        """Forget all upstreams and peers other than the given ones."""
+        """Drop the failures of all other upstreams and the counts of all other peers."""
         self._own_counts = {
             key: count for key, count in self._own_counts.items() if key in identities
         }
--- a/packages/core/src/carobspool_core/direct/_fleet_loads.py
+++ b/packages/core/src/carobspool_core/direct/_fleet_loads.py
@@ -1,9 +1,9 @@
 """Requests in flight at each upstream, from this entry and its peers, with running totals.
 
 Load pattern: hundreds of entries each place several requests a second, and each receives hints of
-the others many times a second. A placement looks at a few upstreams only, so it must not sum the
-loads of every entry at every upstream. Each hint and each request therefore updates the totals by
-its difference.
+the others many times a second. A placement reads the loads of a few upstreams only, so it must not
+sum the loads of every entry at every upstream. Each hint and each request therefore updates the
+totals by its difference.
 """
 
 from __future__ import annotations
--- a/packages/core/src/carobspool_core/direct/_job_work.py
+++ b/packages/core/src/carobspool_core/direct/_job_work.py
@@ -232,7 +232,7 @@
         self._uncommitted.append(ItemResult(item_id=work.item.item_id, outcome=outcome, text=text))
 
     def record_failed_run(self, work: ItemWork, *, max_attempts: int) -> bool:
-        """Count a failed run; return whether the item is given up."""
+        """Count a failed run; return whether it was the last attempt and the item is now dead."""
         work.failures += 1
         self._needs_commit = True
         if work.failures < max_attempts:
--- a/packages/core/src/carobspool_core/direct/_liveness.py
+++ b/packages/core/src/carobspool_core/direct/_liveness.py
@@ -16,8 +16,8 @@
 """Time without a hint after which a peer is reported as silent, long before its jobs are taken
 over."""
 DEAD_AFTER: Millis = 2_200.0
-"""Time without a hint after which other entries take over the jobs of a peer: four full hints in a
-row, and longer than the pause of a process restart."""
+"""Time without a hint after which other entries take over the jobs of a peer: four missed full
+hints in a row, and longer than the pause of a process restart."""
 GONE_AFTER: Millis = 5_000.0
 """Time without a hint after which a peer is not expected back soon; a restart takes two seconds."""
 FORGET_AFTER: Millis = 30_000.0
@@ -61,7 +61,7 @@
 
     @property
     def ownership_uncertain_until(self) -> Millis:
-        """Time until which others may have acted on this entry's jobs without its knowledge."""
+        """Time until which other entries may have acted on this entry's jobs unnoticed."""
         return self._ownership_uncertain_until
 
     def record_tick(self, now: Millis) -> Millis:
@@ -78,7 +78,7 @@
 
         Args:
             silence: Time since the previous hint; ``None`` for the first hint of a process, whose
-                predecessor may have acted last without reporting it to any entry.
+                predecessor may not have reported its last actions on jobs to any entry.
             now: Current time.
         """
         if silence is None or silence > SILENT_AFTER:
@@ -96,13 +96,13 @@
         Args:
             identity: Name and incarnation of the peer.
             silence: Time since its last hint.
-            leaving: Whether its last hint said that it is shutting down.
+            leaving: Whether its last hint reported that the peer is shutting down.
             now: Current time.
         """
         if silence > SILENT_AFTER and not leaving:
             self._ownership_uncertain_until = now + OWNERSHIP_UNCERTAIN_TIME
         if silence > SILENT_AFTER and leaving and identity not in self._shut_down:
-            # The peer may have acted last without reporting it to any entry, and it may never
+            # The peer may not have reported its last actions on jobs to any entry, and it may never
             # start again.
             self._shut_down.add(identity)
             self._ownership_uncertain_until = max(self._ownership_uncertain_until, now)
--- a/packages/core/src/carobspool_core/direct/_queueing.py
+++ b/packages/core/src/carobspool_core/direct/_queueing.py
@@ -3,8 +3,8 @@
 Load pattern: part of the fleet is gone, or a burst lasts, and more requests arrive than the
 upstreams can serve. Engines serve in order of arrival. A long queue serves as many requests as a
 short one, but every answer is late. With a short queue the admitted requests are on time, and the
-others are told at once when to retry. A retried request may wait in a longer queue than a new one,
-since a second refusal would leave its caller without an answer.
+refused ones receive a retry delay at once. A retried request may wait in a longer queue than a new
+one, since a second refusal would leave its caller without an answer.
 """
 
 from __future__ import annotations
@@ -121,7 +121,10 @@
 
 
 def retry_delay(draw: float, time_left: Millis) -> Millis:
-    """Return the retry delay for a refused caller.
+    """Return a random retry delay for a refused caller.
+
+    The delay is between `MIN_RETRY_AFTER` and a third of the remaining time, at most
+    `MAX_RETRY_AFTER`. It is `MIN_RETRY_AFTER` if a third of the remaining time is shorter.
 
     Args:
         draw: Random number from 0 to 1 that spreads the callers.
--- a/packages/core/src/carobspool_core/direct/_shared_view.py
+++ b/packages/core/src/carobspool_core/direct/_shared_view.py
@@ -54,8 +54,8 @@
     def should_reread_for_digest(self, digest: int, now: Millis) -> bool:
         """Whether to read the list again because a peer reports a different digest.
 
-        Only a lasting difference counts. A single peer that agrees does not end it, since most
-        peers may have missed the same change.
+        Only a lasting difference counts. A single peer that agrees does not end the difference,
+        since most peers may have missed the same change.
         """
         return self._reread_is_due(digest != self.version, now)
 
--- a/packages/core/src/carobspool_core/direct/_upstreams.py
+++ b/packages/core/src/carobspool_core/direct/_upstreams.py
@@ -200,7 +200,12 @@
         self._largest_service_size = None
 
     def _keep_if_lapsed(self, upstream: Upstream, now: Millis) -> None:
-        """Keep a removed upstream in use if most of its service lapsed in a store outage."""
+        """Use a removed upstream until the grace time ends if it counts as lapsed.
+
+        An upstream counts as lapsed if it was ready, the store has just recovered, and less
+        than `OUTAGE_REMAINING_SHARE` of the upstreams of its service that were ready before the
+        outage are left.
+        """
         if not upstream.ready or now >= self._grace_until:
             return
         left = self._count_ready_by_service()[upstream.service]
@@ -242,7 +247,7 @@
         return found.union(each.identity for each, _ in self._lapsed.values())
 
     def identities_by_key(self) -> Mapping[int, str]:
-        """Return the identities of all known upstreams by key, without keys shared by several."""
+        """Return the identities of all known upstreams by short key, without shared keys."""
         if self._key_cache is None:
             found: dict[int, str] = {}
             shared = set()
--- a/packages/core/src/carobspool_core/direct/_waiting_quota.py
+++ b/packages/core/src/carobspool_core/direct/_waiting_quota.py
@@ -1,10 +1,10 @@
 """Limit of the waiting tokens of a batch route across all entries.
 
 Load pattern: many jobs are submitted at once to several entries. Each entry knows its own count and
-the counts of the others from hints some 500 ms old, so near the limit two entries could both accept
-the last job that fits. Far from the limit an entry decides by the known counts alone. Near the
-limit each entry accepts only its share of the remaining tokens, which bounds the excess without a
-call to the store.
+the counts of the other entries from hints some 500 ms old, so near the limit two entries could both
+accept the last job that fits. Far from the limit an entry decides by the known counts alone. Near
+the limit each entry accepts only its share of the remaining tokens, which bounds the excess without
+a call to the store.
 """
 
 from __future__ import annotations
--- a/packages/core/src/carobspool_core/direct/_watch_duty.py
+++ b/packages/core/src/carobspool_core/direct/_watch_duty.py
@@ -17,7 +17,7 @@
 
 WATCHER_COUNT = 5
 """Number of entries that watch the store. Several of them may crash, be partitioned or be refused
-by the store at a time; other entries replace them once that is known."""
+by the store at a time; other entries replace them once the failure is known."""
 _RENDEZVOUS_KEY = "watch"
 
 
@@ -41,7 +41,7 @@
         others: The other entries that are live and not shutting down.
     """
     candidates = [own, *others]
-    # While the store answers no entry, some entries must keep asking to notice its return.
+    # While the store answers no entry, some entries must still call it to detect its recovery.
     eligible = [each.name for each in candidates if each.store_ok] or [
         each.name for each in candidates
     ]
--- a/packages/core/src/carobspool_core/organisations/_directory.py
+++ b/packages/core/src/carobspool_core/organisations/_directory.py
@@ -8,7 +8,7 @@
 
 
 class RateLimit(Struct, frozen=True, kw_only=True):
-    """How many requests an organisation may have run, over all entries together.
+    """Limit of an organisation's admitted requests, over all entries together.
 
     Attributes:
         per_second: Sustained rate in requests per second.
--- a/packages/core/src/carobspool_core/organisations/_peer_counts.py
+++ b/packages/core/src/carobspool_core/organisations/_peer_counts.py
@@ -42,11 +42,11 @@
 
 
 def organisation_key(name: str) -> int:
-    """Return the four-byte hash of a name that hints carry; two names may have the same hash."""
+    """Return the four-byte hash that stands for an organisation in hints; hashes may collide."""
     return xxh32_intdigest(name.encode())
 
 
 def count_difference(value: int, before: int) -> int:
-    """Return how far a count has moved; it moves backwards when requests are refunded."""
+    """Return the change of a count; the change is negative when requests are refunded."""
     half = COUNT_MODULUS // 2
     return (value - before + half) % COUNT_MODULUS - half
--- a/packages/core/src/carobspool_core/organisations/_request_limits.py
+++ b/packages/core/src/carobspool_core/organisations/_request_limits.py
@@ -7,10 +7,10 @@
 dozens of times its limit.
 
 Each entry therefore keeps one token bucket per organisation for the whole deployment. An entry
-takes tokens from its bucket for the requests that it admits itself and for those that its peers
+consumes tokens of its bucket for the requests that it admits itself and for those that its peers
 report, and reports its own count at once, so that all buckets hold about the same level. Requests
-that two entries admit at the same moment are paid for out of later tokens, since the level of a
-bucket may be negative.
+that two entries admit at the same moment may make the level of a bucket negative; tokens that are
+added later pay for them.
 
 A peer that is silent may still be admitting requests. Its equal share of each limit is withheld,
 so that the two sides of a network partition share a limit instead of having it twice. A process
@@ -72,8 +72,8 @@
 """Tokens in each bucket when a process starts. It is small since many processes may start at the
 same time."""
 INITIAL_BURST = 4.0
-"""Tokens that a bucket has in addition once the process hears all its peers. They serve the retries
-of callers that no entry served during a restart of all entries."""
+"""Tokens that a bucket has in addition once the process receives hints of all its peers. They serve
+the retries of callers that no entry served during a restart of all entries."""
 STARTUP_TIME: Millis = 2_000.0
 """Time after the start in which a process receives the counts of its peers for the first time."""
 PEER_COUNT_TTL: Millis = 60_000.0
@@ -155,7 +155,7 @@
         return now < self._hot_until
 
     def configure(self, limits: Mapping[str, RateLimit], now: Millis) -> None:
-        """Replace the limits; tokens that were taken before the change stay taken.
+        """Replace the limits; tokens that were consumed before the change stay consumed.
 
         A raised burst is available at once; a lowered one applies from now on.
         """
@@ -176,7 +176,12 @@
             self._names.setdefault(organisation_key(name), []).append(name)
 
     def update_peers(self, peers: Iterable[KnownPeer], now: Millis) -> None:
-        """Update which other entries exist and when each was last heard."""
+        """Update the peers from their last hints, and adapt the buckets to the change.
+
+        A change of the number of entries, or of the entries heard, changes the share of each limit.
+        Buckets without a whole token are charged for requests that peers have probably admitted
+        before they fell silent.
+        """
         recently_heard, heard, entries = 1, 1, 1
         recent_for = RECENT_HINT_INTERVALS * self.hot_hint_interval
         fallen_silent = []
@@ -207,7 +212,7 @@
                 count.is_stale = True
 
     def admit(self, organisation: str, now: Millis) -> Admission:
-        """Take a token for a request, or refuse it with the time until the next token."""
+        """Consume a token for a request, or refuse the request with the time until a token."""
         limit = self._limits.get(organisation)
         if limit is None:
             return Admission(granted=True)
@@ -232,7 +237,7 @@
         """Return this entry's counts that have changed recently, by organisation key.
 
         Args:
-            now: The present instant.
+            now: Current time.
             within: How long ago the count may have changed. A count is sent several times, since
                 hints may be lost.
         """
@@ -261,7 +266,10 @@
                 self._apply_count(peer, name, value, now, is_first=is_new)
 
     def drop_idle(self, now: Millis, *, idle: Millis) -> None:
-        """Drop full buckets, own counts unchanged for ``idle``, and expired counts of peers."""
+        """Drop full buckets, expired counts of peers, and change times older than ``idle``.
+
+        Own counts stay, since peers compare each count with the one that they received before.
+        """
         for name, bucket in list(self._buckets.items()):
             self._refill(bucket, now)
             if bucket.level >= self._capacity(bucket.limit):
@@ -315,7 +323,7 @@
         return bucket.level < self._capacity(bucket.limit) * HOT_LEVEL
 
     def _reserved_for_late_peers(self, bucket: TokenBucket) -> float:
-        """Return the tokens that peers whose hints are overdue may be taking."""
+        """Return the tokens that peers whose hints are overdue may be consuming."""
         if not self._is_hot(bucket):
             return 0.0
         return bucket.limit.burst * (self._heard - self._recently_heard) / self._entries
@@ -388,7 +396,7 @@
 
         Args:
             ratio: Number of peers that have fallen silent, divided by the number of entries heard.
-            now: The present instant.
+            now: Current time.
         """
         for bucket in self._buckets.values():
             self._refill(bucket, now)
--- a/packages/core/src/carobspool_core/organisations/_token_bucket.py
+++ b/packages/core/src/carobspool_core/organisations/_token_bucket.py
@@ -32,7 +32,7 @@
     window_started: Millis = 0.0
 
     def consume(self, tokens: float, now: Millis) -> None:
-        """Remove tokens, and count them in the current window."""
+        """Remove tokens and count them in the current window; start a new window when due."""
         since = now - self.window_started
         if since >= SILENT_AFTER:
             self.consumed_before = self.consumed if since < 2 * SILENT_AFTER else 0.0
--- a/packages/core/src/carobspool_core/organisations/_unknown_keys.py
+++ b/packages/core/src/carobspool_core/organisations/_unknown_keys.py
@@ -5,8 +5,9 @@
 entry therefore first asks a peer for its configuration version. One such call serves all unknown
 keys that arrive within `CONFIRMED_FOR`.
 
-An entry that reaches no peer, and whose store does not answer, cannot tell an invalid key from a
-new one. It says so and asks the caller to retry; the retry usually reaches another entry.
+An entry that reaches no peer, and whose store does not answer, cannot distinguish an invalid key
+from a new one. The entry answers that the key cannot be checked and asks the caller to retry; the
+retry usually reaches another entry.
 """
 
 from __future__ import annotations
--- a/packages/node/src/carobspool_node/organisations/_access.py
+++ b/packages/node/src/carobspool_node/organisations/_access.py
@@ -69,7 +69,7 @@
 
 
 UNRESTRICTED = CallerIdentity()
-"""The access of every caller if the operator declares no organisations."""
+"""The identity of every caller if the operator declares no organisations."""
 
 
 class CallerAuthenticator:
@@ -122,7 +122,11 @@
         return CallerIdentity(organisation=found, has_organisations=True)
 
     def _find_after_confirmation(self, digest: bytes) -> Organisation:
-        """Return the holder of a key that is unknown until the configuration is confirmed."""
+        """Confirm that the configuration is the newest, and return the holder of an unknown key.
+
+        Raises:
+            CallerKeyRefused: The key is unknown, or the configuration cannot be confirmed.
+        """
         with self._confirm_lock:
             # A confirmation that another thread obtained meanwhile applies to this key too.
             found = self._find_by_key_digest(digest)
--- a/packages/node/src/carobspool_node/organisations/_request_quota.py
+++ b/packages/node/src/carobspool_node/organisations/_request_quota.py
@@ -14,15 +14,16 @@
 )
 
 PEER_UPDATE_INTERVAL: Millis = 50.0
-"""Shortest time between two updates of which peers are heard."""
+"""Shortest time between two updates of the known peers."""
 HINT_RESEND_TIME: Millis = 200.0
 """How long hints repeat a count after it has changed; a later hint makes up for a lost one."""
 HEARTBEAT_RESEND_TIME: Millis = 1_300.0
-"""How long heartbeats repeat it, which are sent twice a second."""
+"""How long heartbeats, which are sent twice a second, repeat a count after it has changed."""
 ANNOUNCEMENT_RESEND_TIME: Millis = 10_000.0
-"""How long announcements repeat it, which are sent every two seconds and to each process that has
-just started."""
+"""How long announcements repeat a count after it has changed. Announcements are sent every two
+seconds and to each process that has just started."""
 IDLE_TIME: Millis = 30_000.0
+"""Age at which the time of an own count's last change is dropped; exceeds each resend time."""
 IDLE_SWEEP_INTERVAL: Millis = 10_000.0
 """Shortest time between two sweeps for idle organisations; a sweep visits all active ones."""
 
