--- a/packages/core/src/carobspool_core/direct/_fleet_loads.py
+++ b/packages/core/src/carobspool_core/direct/_fleet_loads.py
@@ -77,18 +77,18 @@
         previous_report = self._reports.pop(peer, None)
         self._reports[peer] = _Report(now, loads)
         before: Mapping[str, Load] = previous_report.loads if previous_report is not None else {}
-        frees_room = False
+        has_decreased = False
         for identity, load in loads.items():
             previous = before.get(identity, NO_LOAD)
             if load == previous:
                 continue
             self._replace(peer, identity, previous, load)
-            frees_room = frees_room or load.total < previous.total
+            has_decreased = has_decreased or load.total < previous.total
         for identity, previous in before.items():
             if identity not in loads:
                 self._replace(peer, identity, previous, NO_LOAD)
-                frees_room = frees_room or previous.total > 0
-        return frees_room
+                has_decreased = has_decreased or previous.total > 0
+        return has_decreased
 
     def expire(self, now: Millis) -> None:
         """Drop the loads of peers that sent no hint for `PEER_LOAD_TTL`."""
--- a/packages/core/src/carobspool_core/direct/_groups.py
+++ b/packages/core/src/carobspool_core/direct/_groups.py
@@ -47,9 +47,9 @@
         groups: Number of groups.
     """
     ordered = sorted({*names, name}, key=_hash_order)
-    number = ordered.index(name) * groups // len(ordered)
-    members = (each for at, each in enumerate(ordered) if at * groups // len(ordered) == number)
-    return number, frozenset(members)
+    index = ordered.index(name) * groups // len(ordered)
+    members = (each for at, each in enumerate(ordered) if at * groups // len(ordered) == index)
+    return index, frozenset(members)
 
 
 def upstreams_of_group(
--- a/packages/core/src/carobspool_core/direct/_job_codec.py
+++ b/packages/core/src/carobspool_core/direct/_job_codec.py
@@ -30,7 +30,7 @@
 bytes of an upstream's answer that are not UTF-8, and a job with such a result must stay
 readable."""
 
-_END_VALUES = tuple(each.value for each in ItemOutcome)
+_OUTCOME_VALUES = tuple(each.value for each in ItemOutcome)
 _Row = Annotated[list[Text], Bounds(min_length=3, max_length=3)]
 
 
@@ -164,10 +164,12 @@
 
 def _results(rows: list[list[str]]) -> tuple[ItemResult, ...]:
     results = []
-    for number, (item_id, end, text) in enumerate(rows):
-        if end not in _END_VALUES:
-            raise _unusable_record(f"results[{number}][1]", repr(end[:80]), ", ".join(_END_VALUES))
-        results.append(ItemResult(item_id=item_id, outcome=ItemOutcome(end), text=text))
+    for number, (item_id, outcome, text) in enumerate(rows):
+        if outcome not in _OUTCOME_VALUES:
+            raise _unusable_record(
+                f"results[{number}][1]", repr(outcome[:80]), ", ".join(_OUTCOME_VALUES)
+            )
+        results.append(ItemResult(item_id=item_id, outcome=ItemOutcome(outcome), text=text))
     return tuple(results)
 
 
--- a/packages/core/src/carobspool_core/direct/_upstreams.py
+++ b/packages/core/src/carobspool_core/direct/_upstreams.py
@@ -129,7 +129,7 @@
                 restarted.append(upstream)
         for instance, upstream in before.items():
             if instance not in self._listed:
-                self._keep_if_lapsed(upstream, now)
+                self._retain_if_lapsed(upstream, now)
         return restarted
 
     def snapshot(self, now: Millis) -> UpstreamsSnapshot:
@@ -166,7 +166,7 @@
         self._clear_caches()
         upstream = self._listed.pop(instance, None)
         if upstream is not None:
-            self._keep_if_lapsed(upstream, now)
+            self._retain_if_lapsed(upstream, now)
 
     def _is_outdated(self, upstream: Upstream, listed: Upstream | None) -> bool:
         """Whether a registration is of an earlier start than the latest known start.
@@ -199,7 +199,7 @@
         self._key_cache = None
         self._largest_service_size = None
 
-    def _keep_if_lapsed(self, upstream: Upstream, now: Millis) -> None:
+    def _retain_if_lapsed(self, upstream: Upstream, now: Millis) -> None:
         """Use a removed upstream until the grace time ends if it counts as lapsed.
 
         An upstream counts as lapsed if it was ready, the store has just recovered, and less
--- a/packages/core/src/carobspool_core/organisations/_request_limits.py
+++ b/packages/core/src/carobspool_core/organisations/_request_limits.py
@@ -123,12 +123,12 @@
     def __init__(self, now: Millis) -> None:
         self._started = now
         self._limits: dict[str, RateLimit] = {}
-        self._names: dict[int, list[str]] = {}
+        self._names_by_key: dict[int, list[str]] = {}
         self._buckets: dict[str, TokenBucket] = {}
         self._peers: dict[str, PeerCounts] = {}
-        self._entries = 1
-        self._heard = 1
-        self._recently_heard = 1
+        self._entry_count = 1
+        self._heard_count = 1
+        self._recently_heard_count = 1
         self._startup_gain = 0.0
         self._full_refill_at: Millis = now + REDUCED_REFILL_TIME
         self._hot_until: Millis = -math.inf
@@ -138,17 +138,17 @@
     @property
     def entry_count(self) -> int:
         """Number of entries that may be admitting requests, this one included."""
-        return self._entries
+        return self._entry_count
 
     @property
     def entries_heard(self) -> int:
         """Number of those entries whose counts are known, this one included."""
-        return self._heard
+        return self._heard_count
 
     @property
     def hot_hint_interval(self) -> Millis:
         """Time between two hints of each entry while an organisation is hot."""
-        return max(HOT_HINT_INTERVAL, self._entries * HOT_HINT_INTERVAL_PER_ENTRY)
+        return max(HOT_HINT_INTERVAL, self._entry_count * HOT_HINT_INTERVAL_PER_ENTRY)
 
     def has_hot_organisation(self, now: Millis) -> bool:
         """Return whether any organisation may reach its limit within moments."""
@@ -171,16 +171,16 @@
             bucket.limit = limit
             bucket.level = min(bucket.level, self._capacity(limit))
         self._limits = dict(limits)
-        self._names = {}
+        self._names_by_key = {}
         for name in limits:
-            self._names.setdefault(organisation_key(name), []).append(name)
+            self._names_by_key.setdefault(organisation_key(name), []).append(name)
 
     def update_peers(self, peers: Iterable[KnownPeer], now: Millis) -> None:
         """Update the peers from their last hints, and adapt the buckets to the change.
 
         A change of the number of entries, or of the entries heard, changes the share of each limit.
-        Buckets without a whole token are charged for requests that peers have probably admitted
-        before they fell silent.
+        Buckets without a whole token are charged for requests that newly silent peers have probably
+        admitted since their last hint.
         """
         recently_heard, heard, entries = 1, 1, 1
         recent_for = RECENT_HINT_INTERVALS * self.hot_hint_interval
@@ -201,8 +201,8 @@
                 continue
             heard += 1
             recently_heard += 1 if since <= recent_for else 0
-        self._recently_heard = recently_heard
-        if (heard, entries) != (self._heard, self._entries):
+        self._recently_heard_count = recently_heard
+        if (heard, entries) != (self._heard_count, self._entry_count):
             self._update_share(heard, entries, now)
         # If all peers fall silent at the same time, it is this process that was paused.
         if fallen_silent and heard > 1:
@@ -262,7 +262,7 @@
             peer.incarnation = incarnation
             peer.counts = {}
         for key, value in counts.items():
-            for name in self._names.get(key, ()):
+            for name in self._names_by_key.get(key, ()):
                 self._apply_count(peer, name, value, now, is_first=is_new)
 
     def drop_idle(self, now: Millis, *, idle: Millis) -> None:
@@ -285,7 +285,7 @@
     @property
     def _share(self) -> float:
         """Share of each limit that the entries whose counts are known may use."""
-        return self._heard / self._entries
+        return self._heard_count / self._entry_count
 
     def _refill_rate(self, limit: RateLimit, now: Millis) -> float:
         """Return the tokens that a bucket gains in a millisecond."""
@@ -326,7 +326,11 @@
         """Return the tokens that peers whose hints are overdue may be consuming."""
         if not self._is_hot(bucket):
             return 0.0
-        return bucket.limit.burst * (self._heard - self._recently_heard) / self._entries
+        return (
+            bucket.limit.burst
+            * (self._heard_count - self._recently_heard_count)
+            / self._entry_count
+        )
 
     def _add_to_own_count(self, name: str, requests: int, now: Millis) -> None:
         self._own_counts[name] = self._own_counts.get(name, 0) + requests
@@ -378,7 +382,7 @@
             if self._is_hot(bucket):
                 left = bucket.level - bucket.limit.burst * lost
                 bucket.level = max(min(bucket.level, 0.0), left)
-        self._heard, self._entries = heard, entries
+        self._heard_count, self._entry_count = heard, entries
         self._full_refill_at = now + REDUCED_REFILL_TIME
         if is_starting and gained > 0.0:
             self._startup_gain += gained
@@ -412,6 +416,6 @@
             granted=granted,
             retry_after=wait,
             level=bucket.level,
-            entries_heard=self._heard,
-            entry_count=self._entries,
+            entries_heard=self._heard_count,
+            entry_count=self._entry_count,
         )
