--- a/packages/node/src/carobspool_node/direct/_announcement.py
+++ b/packages/node/src/carobspool_node/direct/_announcement.py
@@ -42,7 +42,7 @@
         sender: The sending entry.
         hint: Content of the announcement.
         sequence: Grows with each hint.
-        silent: Names of peers that the sender does not hear.
+        silent: Names of peers from which the sender receives no hints.
         ended: Ids of jobs that the sender has recently ended in the store.
     """
     message = _common_fields(sender, hint, sequence)
--- a/packages/node/src/carobspool_node/direct/_bad_records.py
+++ b/packages/node/src/carobspool_node/direct/_bad_records.py
@@ -20,8 +20,8 @@
 LOG_WINDOW: Millis = 10_000.0
 """`MAX_LINES` in this time are five lines a second on average; the log's queue holds 2,000."""
 MAX_TRACKED_RECORDS = 20_000
-"""Bad records that are remembered, at about 150 bytes each. The oldest are dropped first, and are
-logged and counted again if they are still there."""
+"""Bad records that are tracked, at about 150 bytes each. The oldest are dropped first, and are
+logged and counted again if they are still bad."""
 MAX_REASON_CHARS = 300
 """Longest reason in a line: two problems with their field, found and allowed values."""
 MAX_NAME_CHARS = 80
@@ -34,7 +34,7 @@
         clock: The process's clock.
         telemetry: Counts the bad records.
         kind: Kind of the records, for log lines and the counter.
-        field: Key of a log line under which the record's name stands.
+        field: Key of the record's name in log lines.
     """
 
     def __init__(self, clock: Clock, telemetry: Telemetry, kind: str, field: str) -> None:
@@ -62,7 +62,7 @@
         self.report(name, reason)
 
     def report(self, name: str, reason: object) -> None:
-        """Count and log a bad record without remembering it, such as a datagram."""
+        """Count and log a bad record, such as a datagram, without tracking it."""
         self._telemetry.count("bad_records", kind=self._kind)
         unlogged = self._reserve_line()
         if unlogged is None:
--- a/packages/node/src/carobspool_node/direct/_bounded_cache.py
+++ b/packages/node/src/carobspool_node/direct/_bounded_cache.py
@@ -10,11 +10,15 @@
 
 
 class BoundedCache(Generic[_V]):
-    """A least-recently-used cache; the total size of its values in bytes is limited."""
+    """A least-recently-used cache.
+
+    Args:
+        limit: Maximum total size of the values, in bytes.
+    """
 
     def __init__(self, limit: int) -> None:
-        self._limit = limit
-        self._size = 0
+        self._limit_bytes = limit
+        self._size_bytes = 0
         self._values: OrderedDict[str, tuple[_V, int]] = OrderedDict()
         self._lock = threading.Lock()
 
@@ -34,8 +38,8 @@
         """
         with self._lock:
             old = self._values.pop(key, None)
-            self._size += size - (old[1] if old else 0)
+            self._size_bytes += size - (old[1] if old else 0)
             self._values[key] = (value, size)
-            while self._size > self._limit and len(self._values) > 1:
-                _, (_, dropped) = self._values.popitem(last=False)
-                self._size -= dropped
+            while self._size_bytes > self._limit_bytes and len(self._values) > 1:
+                _, (_, evicted_size) = self._values.popitem(last=False)
+                self._size_bytes -= evicted_size
--- a/packages/node/src/carobspool_node/direct/_caller_connection.py
+++ b/packages/node/src/carobspool_node/direct/_caller_connection.py
@@ -20,7 +20,8 @@
 
 ANSWER_TIMEOUT: Millis = 2_000.0
 """Time in which a caller must accept the bytes of an answer, or the next piece of a stream; after
-that it counts as disconnected. Callers give up on a stream that delivers nothing for two seconds.
+that the caller counts as disconnected. Callers give up on a stream that delivers nothing for
+two seconds.
 """
 
 
@@ -75,7 +76,7 @@
         """
         with self._answer_lock:
             self._mark_answered()
-            self._answer(status, headers, body, reason)
+            self._send_answer(status, headers, body, reason)
 
     def answer_at_exit(self, headers: Headers, body: bytes) -> bool:
         """Answer 504 to the current request from another task while the process exits.
@@ -85,7 +86,7 @@
         reads slowly: the exit does not wait for it.
 
         Returns:
-            Whether no request is left without a complete answer.
+            Whether the current request, if there is one, has a complete answer.
         """
         if not self._answer_lock.acquire(blocking=False):
             return False
@@ -94,7 +95,7 @@
                 return not self._streaming
             self._answered_at_exit = True
             self._close_after_answer = True
-            self._answer(504, headers, body, b"")
+            self._send_answer(504, headers, body, b"")
             return True
         except (CallerGoneError, h11.LocalProtocolError):
             return False
@@ -106,11 +107,12 @@
             raise CallerGoneError("answered at process exit")
         self._answered = True
 
-    def _answer(self, status: int, headers: Headers, body: bytes, reason: bytes) -> None:
+    def _send_answer(self, status: int, headers: Headers, body: bytes, reason: bytes) -> None:
+        """Send a complete answer; `_answer_lock` must be held."""
         headers = [(key, value) for key, value in headers if key.lower() != b"content-length"]
         headers.append((b"Content-Length", str(len(body)).encode()))
         http = self._channel.http
-        parts = [self._head(status, headers, reason)]
+        parts = [self._encode_head(status, headers, reason)]
         if body:
             parts.append(http.send(h11.Data(data=body)) or b"")
         parts.append(http.send(h11.EndOfMessage()) or b"")
@@ -122,7 +124,7 @@
         with self._answer_lock:
             self._mark_answered()
             self._streaming = True
-            self._send(self._head(status, headers, reason))
+            self._send(self._encode_head(status, headers, reason))
 
     def send_piece(self, data: bytes) -> None:
         """Send one piece of a streamed answer."""
@@ -207,7 +209,8 @@
             if size > limits.body_bytes:
                 raise BadRequestError("the body is too long", 413)
 
-    def _head(self, status: int, headers: Headers, reason: bytes) -> bytes:
+    def _encode_head(self, status: int, headers: Headers, reason: bytes) -> bytes:
+        """Encode the head of an answer, with ``Connection: close`` if this answer is the last."""
         if self._close_after_answer:
             headers = [*headers, (b"Connection", b"close")]
         response = h11.Response(status_code=status, headers=headers, reason=reason)
--- a/packages/node/src/carobspool_node/direct/_callers.py
+++ b/packages/node/src/carobspool_node/direct/_callers.py
@@ -43,7 +43,7 @@
 MAX_READ_WAIT: Millis = 1_000.0
 NOT_CONFIGURED = "no configuration is known yet"
 KEY_RETRY_AFTER: Millis = 500.0
-"""Within this time an entry that had no other entry to confirm a key with learns of one."""
+"""Within this time an entry that knew no other entry to confirm a key with discovers one."""
 RETRY_JITTER_FRACTION = 0.5
 """Fraction of the wait for the next token that is added to each Retry-After, scaled by a random
 factor. Without it all refused callers would return at the same time and compete for one token."""
@@ -190,7 +190,7 @@
         owner = self._identify_for_job_call(request, configuration).owner_name
         if isinstance(call, ReadResults):
             wait = min(call.wait, MAX_READ_WAIT)
-            page = self._act_on_job(
+            page = self._apply_to_job(
                 call, owner, lambda name: self._jobs.results(name, call.after, wait)
             )
             if isinstance(page, ResultsPage):
@@ -201,14 +201,14 @@
             self._answer_failure(caller, page, self._retry_after(request, MAX_JOB_CALL_TIME))
             return
         if isinstance(call, ReadBody):
-            body = self._act_on_job(call, owner, lambda name: self._jobs.body(name, call.item_id))
+            body = self._apply_to_job(call, owner, lambda name: self._jobs.body(name, call.item_id))
             if isinstance(body, bytes):
                 caller.answer(200, [(b"Content-Type", b"application/octet-stream")], body)
                 return
             self._record_job_call(request, "body", body)
             self._answer_failure(caller, body, self._retry_after(request, MAX_JOB_CALL_TIME))
             return
-        outcome = self._act_on_job(call, owner, self._jobs.end)
+        outcome = self._apply_to_job(call, owner, self._jobs.end)
         self._record_job_call(request, "end", outcome)
         if outcome is Outcome.DONE:
             caller.answer(200, [], b"")
@@ -222,18 +222,18 @@
         is_exempt = not values and configuration.has_keyless_batch_route(request.host)
         return self._identify(request, is_exempt=is_exempt)
 
-    def _act_on_job(
-        self, call: JobCall, owner: str | None, act: Callable[[str], _Result | Outcome]
+    def _apply_to_job(
+        self, call: JobCall, owner: str | None, operation: Callable[[str], _Result | Outcome]
     ) -> _Result | Outcome:
-        """Apply ``act`` to the job of the caller's organisation.
+        """Apply ``operation`` to the job of the caller's organisation.
 
-        If that organisation has no such job, apply ``act`` to a job that belongs to none.
+        If that organisation has no such job, apply ``operation`` to a job that belongs to none.
         """
-        found = act(qualified_job_id(call.job_id, owner))
+        found = operation(qualified_job_id(call.job_id, owner))
         if found is not Outcome.NOT_FOUND:
             return found
         id_without_organisation = self._jobs.find_job_without_organisation(call.job_id, owner)
-        return found if id_without_organisation is None else act(id_without_organisation)
+        return found if id_without_organisation is None else operation(id_without_organisation)
 
     def _retry_after(self, request: CallerRequest, limit: Millis) -> Millis:
         deadline = request.time_limit(self._names.deadline, limit)
--- a/packages/node/src/carobspool_node/direct/_channel.py
+++ b/packages/node/src/carobspool_node/direct/_channel.py
@@ -141,7 +141,7 @@
         self._http = http
 
     def set_cancellation(self, cancellation: Cancellation | None) -> None:
-        """Let ``cancellation`` cancel the call on this connection; ``None`` detaches it."""
+        """Set the cancellation that can end the call on this connection; ``None`` detaches it."""
         if self._cancellation is not None:
             # The connection may serve another call next, which this cancellation must not end.
             self._cancellation.attach(None)
@@ -240,26 +240,26 @@
         self.close()
 
     def _wait(self, flags: int, deadline: Millis, watch: CallerWatch | None) -> int:
-        own = self._socket.fileno()
-        if own < 0:
+        own_fd = self._socket.fileno()
+        if own_fd < 0:
             raise ConnectionBrokenError("connection closed")
         poller = select.poll()
-        poller.register(own, flags)
-        watched = watch.fileno() if watch is not None else None
-        if watched is not None and watched >= 0:
-            poller.register(watched, select.POLLIN)
+        poller.register(own_fd, flags)
+        watched_fd = watch.fileno() if watch is not None else None
+        if watched_fd is not None and watched_fd >= 0:
+            poller.register(watched_fd, select.POLLIN)
         while True:
             remaining = deadline - self._clock.now()
             if remaining <= 0:
                 raise DeadlinePassedError("deadline passed")
             ready = dict(poller.poll(min(remaining + 1.0, 60_000.0)))
-            if watch is not None and watched is not None and watched in ready:
-                watch.check(ready.pop(watched))
+            if watch is not None and watched_fd is not None and watched_fd in ready:
+                watch.check(ready.pop(watched_fd))
                 if watch.fileno() is None:
-                    poller.unregister(watched)
-                    watched = None
-            if own in ready:
-                return ready[own]
+                    poller.unregister(watched_fd)
+                    watched_fd = None
+            if own_fd in ready:
+                return ready[own_fd]
 
     def _raise_if_cancelled(self) -> None:
         if self._cancellation is not None and self._cancellation.cancelled:
--- a/packages/node/src/carobspool_node/direct/_declared.py
+++ b/packages/node/src/carobspool_node/direct/_declared.py
@@ -196,12 +196,16 @@
         return any(versions.get(name, 0) not in (0, view.version) for name, view in views)
 
     def refresh_if_behind(self, versions: Mapping[str, int]) -> None:
-        """Refresh the views that differ from those of a process with these ``versions``."""
+        """Read those views from the store again that a peer's ``versions`` show as outdated.
+
+        The upstreams are read again if the digests differ, unless the peer's revision is older than
+        that of this process.
+        """
         now = self._clock.now()
         if self._configuration_view.should_reread_for_version(versions.get(CONFIGURATION, 0), now):
             self._followers[CONFIGURATION].refresh()
         if 0 < versions.get(_REVISION, 0) < self._followers[UPSTREAMS].revision:
-            # The other process is behind.
+            # The upstreams of the other process are older than those of this process.
             return
         # Processes of the previous version send no digest of starts.
         for name, view in ((UPSTREAMS, self._upstreams_view), (_STARTS, self._starts_view)):
@@ -302,6 +306,7 @@
         return stored.key.removeprefix(self._deployment.upstream_prefix)
 
     def _with_parsed_value(self, stored: StoredObject) -> StoredObject:
+        """Return the object with an upstream as its value, or the reason why it is unusable."""
         return replace(stored, value=self._read_upstream(stored))
 
     def _read_upstream(self, stored: StoredObject) -> Upstream | str:
--- a/packages/node/src/carobspool_node/direct/_deployment.py
+++ b/packages/node/src/carobspool_node/direct/_deployment.py
@@ -42,7 +42,7 @@
     """Parses and answers callers' calls on batch jobs in the platform's format."""
 
     def job_call(self, request: CallerRequest) -> JobCall | None:
-        """Return the call on a job that a request makes, ``None`` if it is no such call.
+        """Return the call on a job that a request makes, ``None`` if it makes none.
 
         Raises:
             BadRequestError: The request is a call on a job, but an invalid one.
--- a/packages/node/src/carobspool_node/direct/_entry.py
+++ b/packages/node/src/carobspool_node/direct/_entry.py
@@ -323,7 +323,10 @@
         self._loads.record_restart(upstream)
 
     def _poll_store(self) -> None:
-        """Read the store periodically on behalf of all entries, in case a watch misses a change."""
+        """Periodically read the store and remove expired jobs on behalf of all entries.
+
+        The read finds changes that a watch has missed.
+        """
         while not self._leaving.wait(POLL_INTERVAL_S):
             try:
                 if self._membership.has_duty(POLL_DUTY):
@@ -333,7 +336,7 @@
                 logging.exception("event=poll_failed")
 
     def _urgent_state(self) -> Hashable:
-        """Return a value that changes when other entries must be told at once.
+        """Return a value whose change requires an immediate hint to the other entries.
 
         Changes of the requests in flight are announced separately.
         """
--- a/packages/node/src/carobspool_node/direct/_exit.py
+++ b/packages/node/src/carobspool_node/direct/_exit.py
@@ -99,7 +99,7 @@
             threading.Event().wait(POLL_INTERVAL_S)
 
     def _hand_over_jobs(self, time_left: Millis) -> bool:
-        """Hand over the open jobs if possible; return whether this entry keeps some of them."""
+        """Hand over the open jobs if possible; return whether this entry still owns open jobs."""
         if not self._runner.job_ids(finished=False):
             return False
         now = self._clock.now()
--- a/packages/node/src/carobspool_node/direct/_follow.py
+++ b/packages/node/src/carobspool_node/direct/_follow.py
@@ -56,9 +56,9 @@
         watch_pause: Pause between a change and the next watch, in milliseconds. The pause delays
             changes by as much.
         on_duty: Returns whether this process has to follow the store itself. While it does not, it
-            gets changes from other processes, see `adopt`.
+            receives changes from other processes, see `adopt`.
         settle_time: Pause between the first listing and the first watch, in milliseconds, in which
-            a new process hears of the other processes and of their duties.
+            a new process receives hints that show the other processes and their duties.
     """
 
     def __init__(
@@ -106,11 +106,11 @@
         threading.Thread(target=self._refresh, name="refresh", daemon=True).start()
 
     def adopt(self, revision: int, apply: Callable[[], None]) -> bool:
-        """Apply what another process has read, unless this process has an equal or newer revision.
+        """Apply objects that another process has read, if their revision is newer.
 
         Args:
             revision: Store revision that the other process has read.
-            apply: Applies what it has read.
+            apply: Applies the objects that the other process has read.
 
         Returns:
             Whether ``apply`` was called.
@@ -124,7 +124,7 @@
 
     def _refresh(self) -> None:
         try:
-            self._list()
+            self._apply_listing()
         finally:
             self._refreshing.release()
 
@@ -142,9 +142,9 @@
             pause = RETRY_PAUSE if self._on_duty() else OFF_DUTY_RETRY_PAUSE
             try:
                 if revision is None:
-                    revision = self._list()
+                    revision = self._apply_listing()
                 else:
-                    revision = self._watch(revision)
+                    revision = self._apply_watch(revision)
                     if revision is None and self._failing:
                         pause = WATCH_RETRY_PAUSE
             except Exception:  # noqa: BLE001
@@ -156,7 +156,8 @@
             elif self._watch_pause:
                 time.sleep(self._watch_pause / 1000.0)
 
-    def _list(self) -> int | None:
+    def _apply_listing(self) -> int | None:
+        """List the objects and apply the listing; return its revision, ``None`` on failure."""
         objects: list[StoredObject] = []
         after = ""
         while True:
@@ -174,13 +175,19 @@
             self._on_recovered()
         revision = page.unwrap().revision
         with self._lock:
-            # A listing and a watch can return out of order; the older one must not be applied last.
+            # A listing and a watch can return out of order; the older result must not be applied
+            # last.
             if revision >= self._applied_revision:
                 self._applied_revision = revision
                 self._on_listing(objects)
         return revision
 
-    def _watch(self, revision: int) -> int | None:
+    def _apply_watch(self, revision: int) -> int | None:
+        """Wait for changes after a revision and apply them.
+
+        Returns:
+            The revision for the next watch, ``None`` if a listing is needed first.
+        """
         batch = self._store.watch(self._prefix, revision=revision, timeout=WATCH_TIMEOUT)
         if not is_successful(batch):
             self._handle_failure(batch.failure())
--- a/packages/node/src/carobspool_node/direct/_forward.py
+++ b/packages/node/src/carobspool_node/direct/_forward.py
@@ -50,8 +50,9 @@
 )
 
 MAX_REJECTIONS = 3
-"""Upstreams that may reject one request without running it before its caller receives 503. Each
-rejection costs a round trip; if three upstreams are full, the others probably are as well."""
+"""Number of upstreams that may reject one request without running it before its caller receives
+503. Each rejection costs a round trip; if three upstreams are full, the others probably are full as
+well."""
 CALL_TIME_FRACTION = 0.45
 """Fraction of the remaining time that one call for a repeatable request may take while another call
 is still allowed. Plain calls take 20 to 110 ms of a limit of 600 ms or more, so the rest leaves
@@ -311,6 +312,7 @@
     def _relay_answer(
         self, state: RequestState, upstream: Upstream, call: UpstreamCall, head: UpstreamHead
     ) -> bool:
+        """Relay the upstream's answer; return whether the caller has received it."""
         if head.header(self._names.not_run) is not None or head.status == 421:
             call.read_body(state.deadline)
             state.turned_away += 1
--- a/packages/node/src/carobspool_node/direct/_forwarded_request.py
+++ b/packages/node/src/carobspool_node/direct/_forwarded_request.py
@@ -16,16 +16,16 @@
 ) -> UpstreamRequest:
     """Return the request to send to one upstream.
 
-    Its headers name the instance that may run it, the time left, and the last event that the caller
-    has received.
+    The headers contain the instance that may run the request, the remaining time, and the last
+    event that the caller has received.
     """
     request = state.request
     headers = end_to_end_headers(
         request.headers, without=(names.deadline, names.expect_instance, b"content-length")
     )
-    left = max(1, int(state.deadline - now))
+    time_left = max(1, int(state.deadline - now))
     headers = replace_credentials(headers, names, state.organisation)
-    headers.append((names.deadline, str(left).encode()))
+    headers.append((names.deadline, str(time_left).encode()))
     headers.append((names.expect_instance, upstream.instance.encode()))
     if state.last_event is not None:
         headers = [(key, value) for key, value in headers if key.lower() != names.last_event]
--- a/packages/node/src/carobspool_node/direct/_hint_receiver.py
+++ b/packages/node/src/carobspool_node/direct/_hint_receiver.py
@@ -36,25 +36,25 @@
 """Maximum number of hints in a batch, about as many as hundreds of entries send in a second."""
 
 LoadsCallback = Callable[[str, Mapping[str, Load], Mapping[str, int] | None, bool], None]
-"""Takes a peer's name, its requests in flight, the failures that it has seen, ``None`` if the hint
-reports none, and whether the peer knows start times of upstreams. Loads and failures are keyed by
-the upstream's identity, or by its instance id if the peer does not know start times."""
+"""Called with a peer's name, its requests in flight, the failures that it has seen, ``None`` if
+the hint reports none, and whether the peer knows start times of upstreams. Loads and failures are
+keyed by the upstream's identity, or by its instance id if the peer does not know start times."""
 BacklogCallback = Callable[[str, Sequence[WaitingGroup]], None]
-"""Takes a peer's name and the batch items that wait at the peer."""
+"""Called with a peer's name and the batch items that wait at the peer."""
 
 
 class PeerCallbacks(Struct, frozen=True, kw_only=True):
     """Callbacks for the content of peers' hints and for silent peers.
 
     Attributes:
-        loads: Takes a peer's loads and failures.
-        backlog: Takes the batch items that wait at a peer.
-        versions: Takes a peer's name and the versions that the peer has seen.
-        lost: Takes a peer whose jobs need new owners.
-        gone: Takes a peer that is not expected to come back.
-        ended: Takes the ids of jobs that a peer has ended in the store.
-        counts: Takes a peer's name, its incarnation and the requests that it has admitted, by the
-            organisation's key.
+        loads: Called with a peer's loads and failures.
+        backlog: Called with a peer's name and the batch items that wait at the peer.
+        versions: Called with a peer's name and the versions that the peer has seen.
+        lost: Called with a peer whose jobs need new owners.
+        gone: Called with a peer that is not expected to come back.
+        ended: Called with the ids of jobs that a peer has ended in the store.
+        counts: Called with a peer's name, its incarnation and the number of requests that it has
+            admitted, by the organisation's key.
     """
 
     loads: LoadsCallback = lambda peer, loads, failures, knows_starts: None
@@ -87,7 +87,7 @@
         self._table = table
         self._identities_by_key = identities_by_key
         self._bad_hints = bad_hints
-        self._events = PeerCallbacks()
+        self._callbacks = PeerCallbacks()
         self._stopped = threading.Event()
 
     def start(self, events: PeerCallbacks) -> None:
@@ -96,11 +96,11 @@
         Args:
             events: Callbacks for received hints.
         """
-        self._events = events
+        self._callbacks = events
         threading.Thread(target=self._receive_loop, name="hints-in", daemon=True).start()
 
     def stop(self) -> None:
-        """Let the receiving thread end at the next socket error."""
+        """Make the receiving thread exit at the next socket error."""
         self._stopped.set()
 
     def receive(self, message: Json) -> None:
@@ -151,29 +151,30 @@
             logging.exception("event=hint_failed")
 
     def _apply_load_hint(self, hint: LoadHint) -> None:
+        """Pass a hint's backlog, loads and counts to the callbacks, unless the table rejects it."""
         if not self._table.record_hint(hint):
             return
-        self._events.backlog(hint.name, hint.backlog)
-        self._events.loads(hint.name, self._by_known_identity(hint.loads), None, True)
-        self._events.counts(hint.name, hint.incarnation, hint.counts)
+        self._callbacks.backlog(hint.name, hint.backlog)
+        self._callbacks.loads(hint.name, self._by_known_identity(hint.loads), None, True)
+        self._callbacks.counts(hint.name, hint.incarnation, hint.counts)
 
     def _apply_counts_hint(self, hint: CountsHint) -> None:
         if self._table.record_hint(hint):
-            self._events.counts(hint.name, hint.incarnation, hint.counts)
+            self._callbacks.counts(hint.name, hint.incarnation, hint.counts)
 
     def _apply_announcement(self, announcement: Announcement) -> None:
         packed = unpack_loads(announcement.packed_loads)
         counts = unpack_counts(announcement.packed_counts or b"")
         lost = self._table.apply_announcement(announcement)
         if lost is not None:
-            self._events.lost(lost)
-        self._events.ended(announcement.ended)
+            self._callbacks.lost(lost)
+        self._callbacks.ended(announcement.ended)
         groups = [
             WaitingGroup(float(start_order), count) for start_order, count in announcement.backlog
         ]
-        self._events.backlog(announcement.name, groups)
+        self._callbacks.backlog(announcement.name, groups)
         self._apply_announced_loads(announcement, packed, counts)
-        self._events.versions(announcement.name, announcement.versions)
+        self._callbacks.versions(announcement.name, announcement.versions)
 
     def _apply_announced_loads(
         self, announcement: Announcement, packed: Mapping[int, Load], counts: Mapping[int, int]
@@ -187,8 +188,8 @@
             return
         loads = by_identity({key: Load(*pair) for key, pair in announcement.loads.items()}, starts)
         loads |= self._by_known_identity(packed)
-        self._events.loads(announcement.name, loads, failures, announcement.starts is not None)
-        self._events.counts(announcement.name, announcement.incarnation, counts)
+        self._callbacks.loads(announcement.name, loads, failures, announcement.starts is not None)
+        self._callbacks.counts(announcement.name, announcement.incarnation, counts)
 
     def _by_known_identity(self, loads: Mapping[int, Load]) -> dict[str, Load]:
         identities = self._identities_by_key()
--- a/packages/node/src/carobspool_node/direct/_hint_sender.py
+++ b/packages/node/src/carobspool_node/direct/_hint_sender.py
@@ -58,7 +58,7 @@
             hint: Content of the announcement.
             current: Addresses of entries that read load hints.
             others: Addresses of all other entries, which get the format of the previous version.
-            silent: Names of peers that this entry does not hear.
+            silent: Names of peers from which this entry receives no hints.
             ended: Ids of jobs that this entry has recently ended in the store.
         """
         sequence = self._next_sequence()
--- a/packages/node/src/carobspool_node/direct/_item_order.py
+++ b/packages/node/src/carobspool_node/direct/_item_order.py
@@ -61,7 +61,8 @@
         jobs: The owned jobs.
         configuration: The current routes.
         pace: Estimates how long items run.
-        now: The clock's instant, with which the retry delays of items are compared.
+        now: The current time of the process's clock, to which the end of each item's retry delay is
+            compared.
     """
     found: list[WaitingItem] = []
     wall = wall_millis()
--- a/packages/node/src/carobspool_node/direct/_item_run.py
+++ b/packages/node/src/carobspool_node/direct/_item_run.py
@@ -129,10 +129,14 @@
     def _request(self, job: JobInput, work: ItemWork, upstream: Upstream) -> UpstreamRequest:
         names = self._names
         item = work.item
-        own = (names.request_id, names.expect_instance, b"host", b"content-length")
-        given: Headers = [(key.encode(), value.encode()) for key, value in item.headers.items()]
-        given = replace_credentials(end_to_end_headers(given, without=own), names, job.organisation)
-        headers = [(b"Host", job.host.encode()), *given]
+        replaced_names = (names.request_id, names.expect_instance, b"host", b"content-length")
+        item_headers: Headers = [
+            (key.encode(), value.encode()) for key, value in item.headers.items()
+        ]
+        item_headers = replace_credentials(
+            end_to_end_headers(item_headers, without=replaced_names), names, job.organisation
+        )
+        headers = [(b"Host", job.host.encode()), *item_headers]
         headers.append((names.request_id, item.item_id.encode()))
         headers.append((names.expect_instance, upstream.instance.encode()))
         headers.append((b"Content-Length", str(len(item.body)).encode()))
--- a/packages/node/src/carobspool_node/direct/_job_adoption.py
+++ b/packages/node/src/carobspool_node/direct/_job_adoption.py
@@ -24,12 +24,12 @@
 from carobspool_node.direct._telemetry import Telemetry
 
 FALLBACK_ADOPTION_DELAY: Millis = 3_000.0
-"""How long a job without an owner is left to the entry that it is assigned to. That entry detects
-the loss within a few hints, and its takeover takes three calls to the store."""
+"""Time in which only the assigned entry takes over a job without an owner. That entry detects the
+loss within a few hints, and its takeover takes three calls to the store."""
 
 _UNRECOVERABLE_FAULTS = (StoreFault.NOT_FOUND, StoreFault.UNREADABLE)
-"""Faults that no retry resolves: it would cost a call to the store each half second for as long as
-the record exists."""
+"""Faults that no retry resolves. Retries would cost a call to the store each half second for as
+long as the record exists."""
 
 
 class _Orphan(Struct, frozen=True, kw_only=True):
@@ -56,7 +56,7 @@
         peers: The other entries.
         telemetry: Counts takeovers and measures how long jobs had no owner.
         are_peers_known: Returns whether this entry has run for long enough to know which peers
-            live.
+            are alive.
     """
 
     def __init__(
@@ -107,16 +107,16 @@
         Args:
             job_id: The job.
             reason: Why the job may have no owner, for the log.
-            lost_owner: Identity of the entry that is known to have stopped working on the job. With
-                it, a process that has just started need not wait for hints of all its peers.
+            lost_owner: Identity of the entry that is known to have stopped working on the job. If
+                it is given, a process that has just started does not wait for hints of all peers.
 
         Returns:
             Whether nothing is left to do: the job has a live owner, is finished or can have none.
         """
         if self._runner.get(job_id) is not None:
             return True
-        settled = self._are_peers_known()
-        if lost_owner is None and not settled:
+        peers_known = self._are_peers_known()
+        if lost_owner is None and not peers_known:
             return False
         job = self._catalog.read_input(job_id)
         if not is_successful(job):
@@ -127,10 +127,9 @@
         progress = state.unwrap().progress
         if self._catalog.cache_if_finished(job_id, progress):
             return True
-        if not settled and progress.owner != lost_owner:
+        if not peers_known and progress.owner != lost_owner:
             # Another entry has taken the job over, and this process has received no hint from it
-            # yet. Taking the job from it would interrupt the job's runs once for each process that
-            # starts.
+            # yet. Taking over the job would interrupt its runs once for each process that starts.
             return False
         return self._take_over(job.unwrap(), state.unwrap(), reason)
 
@@ -158,14 +157,14 @@
 
         Args:
             is_assigned: Whether this entry, among all live ones, is assigned to take a job over.
-                After `FALLBACK_ADOPTION_DELAY` it does so anyway, since the assigned entry may not
-                know of the job.
+                After `FALLBACK_ADOPTION_DELAY` this entry takes the job over anyway, since the
+                assigned entry may have no record of the job.
         """
         now = self._clock.now()
         with self._orphans_lock:
             orphans = dict(self._orphans)
         for job_id, orphan in orphans.items():
-            if self._has_owner(job_id):
+            if self._has_known_owner(job_id):
                 resolved = True
             elif is_assigned(job_id) or now - orphan.since > FALLBACK_ADOPTION_DELAY:
                 resolved = self.ensure_owner(job_id, orphan.reason, lost_owner=orphan.lost_owner)
@@ -189,7 +188,7 @@
         if not is_successful(progress) or not is_successful(inputs):
             return False
         for job_id, stored in inputs.unwrap().objects.items():
-            if not self._has_owner(job_id):
+            if not self._has_known_owner(job_id):
                 self._recover_job(
                     job_id, stored, progress.unwrap().objects.get(job_id), is_assigned
                 )
@@ -229,7 +228,8 @@
         if failure.fault is not StoreFault.UNREADABLE:
             self.add_orphans([job_id], "recovered")
 
-    def _has_owner(self, job_id: str) -> bool:
+    def _has_known_owner(self, job_id: str) -> bool:
+        """Return whether this entry owns the job or the hints of a peer name it."""
         return self._runner.get(job_id) is not None or self._peers.find_job_peer(job_id) is not None
 
     def _take_over(self, job: JobInput, state: StoredProgress, reason: str) -> bool:
--- a/packages/node/src/carobspool_node/direct/_job_records.py
+++ b/packages/node/src/carobspool_node/direct/_job_records.py
@@ -42,7 +42,7 @@
 
 MAX_PIECES = 10_000
 """Pieces that one record may name: 4 GB of text at the users' limit for the size of a value."""
-MAX_PIECE_NAME = 200
+MAX_PIECE_NAME_CHARS = 200
 
 
 class Segment(Struct, frozen=True, kw_only=True):
@@ -183,16 +183,19 @@
             version: Version of the stored progress to replace; 0 if there is none yet.
             segments: Segments that already hold the first results.
         """
-        kept = tuple(segments)
-        value = _stored_value(progress, kept)
+        stored_segments = tuple(segments)
+        value = _stored_value(progress, stored_segments)
         results = json.dumps(value["results"])
         if len(results) > self._limit:
             moved = self._write_pieces(results)
             if not is_successful(moved):
                 return Failure(moved.failure())
             name, count = moved.unwrap()
-            kept = (*kept, Segment(name=name, pieces=count, results=len(value["results"])))
-            value = _stored_value(progress, kept)
+            stored_segments = (
+                *stored_segments,
+                Segment(name=name, pieces=count, results=len(value["results"])),
+            )
+            value = _stored_value(progress, stored_segments)
         if progress.parts and len(json.dumps(value)) > self._limit:
             # Parts of unfinished items only save work after the loss of the owner. They are
             # dropped if necessary; the results have to fit.
@@ -205,7 +208,9 @@
             written = self._store.update(key, value, version=version)
         if not is_successful(written):
             return Failure(written.failure())
-        stored = StoredProgress(progress=progress, segments=kept, version=written.unwrap().version)
+        stored = StoredProgress(
+            progress=progress, segments=stored_segments, version=written.unwrap().version
+        )
         return Success(stored)
 
     def remove(self, stored: StoredObject) -> StoreFailure | None:
@@ -298,7 +303,7 @@
 
 
 class _Pieces(Record):
-    name: str = field(min_length=1, max_length=MAX_PIECE_NAME)
+    name: str = field(min_length=1, max_length=MAX_PIECE_NAME_CHARS)
     count: int = field(ge=0, le=MAX_PIECES)
 
 
@@ -332,9 +337,9 @@
 
 
 def referenced_pieces(value: Json) -> list[tuple[str, int]]:
-    """Return the name and number of the pieces that a record references.
+    """Return the names that the pieces of a record share, each with the number of its pieces.
 
-    An unusable record yields none, and its pieces stay in the store.
+    The list is empty for an unusable record, whose pieces then stay in the store.
     """
     try:
         if isinstance(value, dict) and "pieces" in value:
--- a/packages/node/src/carobspool_node/direct/_job_recovery.py
+++ b/packages/node/src/carobspool_node/direct/_job_recovery.py
@@ -81,7 +81,7 @@
         threading.Thread(target=self._adopt_orphans, name="orphans", daemon=True).start()
 
     def are_peers_known(self) -> bool:
-        """Whether this entry has run for long enough to know which peers live."""
+        """Return whether this entry has run for long enough to know which peers are alive."""
         return self._clock.now() - self._started >= SETTLE_TIME
 
     def peer_lost(self, peer: Peer) -> None:
@@ -102,8 +102,8 @@
         """Take over stored jobs that have no owner after the start of this entry.
 
         Jobs of an earlier process of this node certainly have no owner and are taken over at once.
-        Their items would otherwise not run until the entries know which peers live. Jobs of other
-        entries are added as orphans and get an owner once that is known.
+        Their items would otherwise not run until the entries know which peers are alive. Jobs of
+        other entries are added as orphans and get an owner once the live peers are known.
 
         A single entry then lists the jobs again on behalf of all. After all entries were lost, a
         listing covers most of the store, and every entry would request one at the same time.
--- a/packages/node/src/carobspool_node/direct/_job_retention.py
+++ b/packages/node/src/carobspool_node/direct/_job_retention.py
@@ -94,7 +94,8 @@
     def _is_input_missing(self, job_id: str, inputs: Listing) -> bool:
         """Whether the input of a job is missing.
 
-        An incomplete listing does not show it: the input may be among the unreadable names.
+        An incomplete listing does not show that an input is missing: the input may be among the
+        objects with unreadable names.
         """
         return inputs.complete and job_id not in inputs.objects
 
--- a/packages/node/src/carobspool_node/direct/_job_runner.py
+++ b/packages/node/src/carobspool_node/direct/_job_runner.py
@@ -53,7 +53,7 @@
 
     Args:
         clock: The process's clock.
-        loads: What is in flight at the upstreams.
+        loads: Work in flight at the upstreams.
         runner: Runs single items.
         telemetry: Counts runs, verifications and changes of owners; measures runs and commits.
         configuration: Returns the current routes, ``None`` before they are known.
@@ -75,7 +75,7 @@
     ) -> None:
         self._clock = clock
         self._loads = loads
-        self._runner = runner
+        self._item_runner = runner
         self._telemetry = telemetry
         self._configuration = configuration
         self._usable = usable
@@ -91,7 +91,7 @@
         self._committing: set[str] = set()
         self._verifying: set[str] = set()
         self._released: frozenset[str] = frozenset()
-        self._pace = ItemDurationEstimate()
+        self._duration_estimate = ItemDurationEstimate()
         self._backlog = PeerBacklog()
         self._backlog_lock = threading.Lock()
         self._waiting: Sequence[WaitingItem] = ()
@@ -247,7 +247,9 @@
         configuration = self._configuration()
         if configuration is None:
             return
-        order = order_waiting_items(self.owned(), configuration, self._pace, now=self._clock.now())
+        order = order_waiting_items(
+            self.owned(), configuration, self._duration_estimate, now=self._clock.now()
+        )
         for waiting in order:
             if self._stopped.is_set() or self._run_count >= MAX_CONCURRENT_RUNS:
                 break
@@ -256,7 +258,10 @@
         self._waiting = [each for each in order if not each.work.running]
 
     def _try_start(self, waiting: WaitingItem) -> bool:
-        """Start an item if an upstream has capacity; return whether to try the next item."""
+        """Start an item if an upstream has capacity; return whether to try the next item.
+
+        An item without a batch route or past its retention is finished as dead instead.
+        """
         job, work, route = waiting.job, waiting.work, waiting.route
         if route is None or self._is_past_retention(job, route):
             self._dead_letter(job, work, "no batch route" if route is None else "past retention")
@@ -346,9 +351,11 @@
                 outcome = RunOutcome(end=RunEnd.INTERRUPTED, detail=run.cancellation.reason)
             else:
                 before = work.last_event
-                outcome = self._runner.run(job.input, work, upstream, run)
+                outcome = self._item_runner.run(job.input, work, upstream, run)
                 events = work.last_event - before
-                self._pace.record_run(events=events, duration=self._clock.now() - started)
+                self._duration_estimate.record_run(
+                    events=events, duration=self._clock.now() - started
+                )
             self._apply_outcome(job, work, route, outcome)
             self._telemetry.observe_duration("item_run", self._clock.now() - started)
             self._count_item(job, work, outcome.end.value, outcome.detail, upstream, run)
@@ -368,7 +375,7 @@
         now = self._clock.now()
         with job.lock:
             if outcome.end is RunEnd.COMPLETED:
-                self._pace.record_item(events=work.last_event)
+                self._duration_estimate.record_item(events=work.last_event)
                 job.work.finish(work, ItemOutcome.COMPLETED)
             elif outcome.end is RunEnd.FAILED:
                 work.discard_received()
--- a/packages/node/src/carobspool_node/direct/_jobs.py
+++ b/packages/node/src/carobspool_node/direct/_jobs.py
@@ -37,7 +37,7 @@
 READ_PROOF_MAX_AGE: Millis = 700.0
 """Maximum age of the proof of ownership with which results are served without a new verification
 while other entries may have considered this one dead. A reader that saw a position at another entry
-must find it here within a second."""
+must find that position here within a second."""
 PEER_CALL_TIMEOUT: Millis = 900.0
 MAX_END_ATTEMPTS = 4
 RESUBMITTED = "submitted again"
@@ -206,7 +206,7 @@
             return Outcome.DONE
         outcome = self._end_in_store(job_id)
         # The owner may have ended the job in memory and may still write the end to the store. A
-        # caller that is told UNAVAILABLE would wait for results that never come.
+        # caller that receives UNAVAILABLE would wait for results that never come.
         return Outcome.UNKNOWN if outcome is Outcome.UNAVAILABLE else outcome
 
     def _end_at_peer(self, peer: Peer, job_id: str) -> bool:
