--- a/packages/node/src/carobspool_node/direct/_hint_receiver.py
+++ b/packages/node/src/carobspool_node/direct/_hint_receiver.py
@@ -87,7 +87,7 @@
         self._table = table
         self._identities_by_key = identities_by_key
         self._bad_hints = bad_hints
-        self._callbacks = PeerCallbacks()
+        self._events = PeerCallbacks()
         self._stopped = threading.Event()
 
     def start(self, events: PeerCallbacks) -> None:
@@ -96,7 +96,7 @@
         Args:
             events: Callbacks for received hints.
         """
-        self._callbacks = events
+        self._events = events
         threading.Thread(target=self._receive_loop, name="hints-in", daemon=True).start()
 
     def stop(self) -> None:
@@ -154,27 +154,27 @@
         """Pass a hint's backlog, loads and counts to the callbacks, unless the table rejects it."""
         if not self._table.record_hint(hint):
             return
-        self._callbacks.backlog(hint.name, hint.backlog)
-        self._callbacks.loads(hint.name, self._by_known_identity(hint.loads), None, True)
-        self._callbacks.counts(hint.name, hint.incarnation, hint.counts)
+        self._events.backlog(hint.name, hint.backlog)
+        self._events.loads(hint.name, self._by_known_identity(hint.loads), None, True)
+        self._events.counts(hint.name, hint.incarnation, hint.counts)
 
     def _apply_counts_hint(self, hint: CountsHint) -> None:
         if self._table.record_hint(hint):
-            self._callbacks.counts(hint.name, hint.incarnation, hint.counts)
+            self._events.counts(hint.name, hint.incarnation, hint.counts)
 
     def _apply_announcement(self, announcement: Announcement) -> None:
         packed = unpack_loads(announcement.packed_loads)
         counts = unpack_counts(announcement.packed_counts or b"")
         lost = self._table.apply_announcement(announcement)
         if lost is not None:
-            self._callbacks.lost(lost)
-        self._callbacks.ended(announcement.ended)
+            self._events.lost(lost)
+        self._events.ended(announcement.ended)
         groups = [
             WaitingGroup(float(start_order), count) for start_order, count in announcement.backlog
         ]
-        self._callbacks.backlog(announcement.name, groups)
+        self._events.backlog(announcement.name, groups)
         self._apply_announced_loads(announcement, packed, counts)
-        self._callbacks.versions(announcement.name, announcement.versions)
+        self._events.versions(announcement.name, announcement.versions)
 
     def _apply_announced_loads(
         self, announcement: Announcement, packed: Mapping[int, Load], counts: Mapping[int, int]
@@ -188,8 +188,8 @@
             return
         loads = by_identity({key: Load(*pair) for key, pair in announcement.loads.items()}, starts)
         loads |= self._by_known_identity(packed)
-        self._callbacks.loads(announcement.name, loads, failures, announcement.starts is not None)
-        self._callbacks.counts(announcement.name, announcement.incarnation, counts)
+        self._events.loads(announcement.name, loads, failures, announcement.starts is not None)
+        self._events.counts(announcement.name, announcement.incarnation, counts)
 
     def _by_known_identity(self, loads: Mapping[int, Load]) -> dict[str, Load]:
         identities = self._identities_by_key()
