--- a/packages/node/src/carobspool_node/direct/_hint_receiver.py
+++ b/packages/node/src/carobspool_node/direct/_hint_receiver.py
@@ -36,25 +36,25 @@
 """Maximum number of hints in a batch, about as many as hundreds of entries send in a second."""
 
 LoadsCallback = Callable[[str, Mapping[str, Load], Mapping[str, int] | None, bool], None]
-"""Takes a peer's name, its requests in flight, the failures that it has seen, ``None`` if the hint
-reports none, and whether the peer knows start times of upstreams. Loads and failures are keyed by
-the upstream's identity, or by its instance id if the peer does not know start times."""
+"""Called with a peer's name, its requests in flight, the failures that it has seen, ``None`` if
+the hint reports none, and whether the peer knows start times of upstreams. Loads and failures are
+keyed by the upstream's identity, or by its instance id if the peer does not know start times."""
 BacklogCallback = Callable[[str, Sequence[WaitingGroup]], None]
-"""Takes a peer's name and the batch items that wait at the peer."""
+"""Called with a peer's name and the batch items that wait at the peer."""
 
 
 class PeerCallbacks(Struct, frozen=True, kw_only=True):
     """Callbacks for the content of peers' hints and for silent peers.
 
     Attributes:
-        loads: Takes a peer's loads and failures.
-        backlog: Takes the batch items that wait at a peer.
-        versions: Takes a peer's name and the versions that the peer has seen.
-        lost: Takes a peer whose jobs need new owners.
-        gone: Takes a peer that is not expected to come back.
-        ended: Takes the ids of jobs that a peer has ended in the store.
-        counts: Takes a peer's name, its incarnation and the requests that it has admitted, by the
-            organisation's key.
+        loads: Called with a peer's loads and failures.
+        backlog: Called with a peer's name and the batch items that wait at the peer.
+        versions: Called with a peer's name and the versions that the peer has seen.
+        lost: Called with a peer whose jobs need new owners.
+        gone: Called with a peer that is not expected to come back.
+        ended: Called with the ids of jobs that a peer has ended in the store.
+        counts: Called with a peer's name, its incarnation and the number of requests that it has
+            admitted, by the organisation's key.
     """
 
     loads: LoadsCallback = lambda peer, loads, failures, knows_starts: None
@@ -100,7 +100,7 @@
         threading.Thread(target=self._receive_loop, name="hints-in", daemon=True).start()
 
     def stop(self) -> None:
-        """Let the receiving thread end at the next socket error."""
+        """Make the receiving thread exit at the next socket error."""
         self._stopped.set()
 
     def receive(self, message: Json) -> None:
@@ -151,6 +151,7 @@
             logging.exception("event=hint_failed")
 
     def _apply_load_hint(self, hint: LoadHint) -> None:
+        """Pass a hint's backlog, loads and counts to the callbacks, unless the table rejects it."""
         if not self._table.record_hint(hint):
             return
         self._events.backlog(hint.name, hint.backlog)
