--- a/packages/node/src/carobspool_node/direct/_keeper.py
+++ b/packages/node/src/carobspool_node/direct/_keeper.py
@@ -19,12 +19,12 @@
 
 CHECK_INTERVAL_S = 4.0
 """Time between two checks of the settings file and two reads of the retirement requests. A watch
-can deliver nothing and look healthy for its 30 s, but a host must be released some eight seconds
-after the request. A read is one call."""
+that misses a change shows no fault for its 30 s, but a host must be released some eight seconds
+after the request. Each read of the requests is one call to the store."""
 
 
 class Keeper:
-    """Answers requests to empty a host; all durable data is in the object store."""
+    """Confirms requests to retire a host; all durable data is in the object store."""
 
     def __init__(
         self, settings: DirectSettings, deployment: Deployment, reload: SettingsReload
--- a/packages/node/src/carobspool_node/direct/_listener.py
+++ b/packages/node/src/carobspool_node/direct/_listener.py
@@ -19,7 +19,7 @@
 from carobspool_node.direct._messages import CallerRequest, HeaderNames
 
 REFUSAL_WRITE_TIMEOUT_S = 0.1
-"""How long the exit waits for refusals in progress; writing one takes less than a millisecond."""
+"""How long `close_socket` waits for refusals in progress; each is written within a millisecond."""
 ACCEPT_QUEUE_LENGTH = 512
 """A full accept queue drops the SYN, which the client retransmits only after a second."""
 
@@ -31,7 +31,7 @@
 
     Args:
         address: Address to listen on.
-        workers: Connections served at once; further ones wait until one ends.
+        workers: Connections served at once; further connections wait until one of these ends.
         clock: The process's clock.
         names: Header names used by the callers.
         limits: Returns the current limits on requests.
@@ -73,7 +73,7 @@
         return self._open_connections
 
     def start(self) -> None:
-        """Start to accept connections on a thread of its own."""
+        """Start to accept connections on a new thread."""
         threading.Thread(target=self._accept, name="accept", daemon=True).start()
 
     def drain(self) -> None:
@@ -83,8 +83,8 @@
     def close_if_idle(self) -> bool:
         """Stop serving requests if none is in progress; return whether serving has stopped.
 
-        The process needs some time to exit, and callers still send requests until then. Serving
-        them would cut them off at the exit, so they are refused as not run.
+        The process needs some time to exit, and callers still send requests until then. The
+        exit would interrupt these requests, so they are refused as not run.
         """
         with self._lock:
             self._closed = self._closed or not self._in_progress
@@ -100,11 +100,11 @@
             self._closed = True
             unfinished = dict(self._in_progress)
         headers, body = failure_answer("this entry has left", "unknown", None)
-        cut = []
+        incomplete = []
         for connection, request in unfinished.items():
             if not connection.answer_at_exit(headers, body):
-                cut.append(request)
-        return cut
+                incomplete.append(request)
+        return incomplete
 
     def close_socket(self) -> None:
         """Close the listening socket and wait for refusals in progress; call `close` first.
@@ -115,8 +115,8 @@
         with contextlib.suppress(OSError):
             self._socket.shutdown(socket.SHUT_RDWR)
         self._socket.close()
-        until = time.monotonic() + REFUSAL_WRITE_TIMEOUT_S
-        while self._pending_refusals and time.monotonic() < until:
+        deadline = time.monotonic() + REFUSAL_WRITE_TIMEOUT_S
+        while self._pending_refusals and time.monotonic() < deadline:
             time.sleep(0.005)
 
     def _accept(self) -> None:
--- a/packages/node/src/carobspool_node/direct/_load_hint.py
+++ b/packages/node/src/carobspool_node/direct/_load_hint.py
@@ -2,8 +2,8 @@
 
 A load hint carries an entry's requests in flight. It is sent at each change and as the heartbeat.
 Most of the traffic between entries consists of load hints, so they name an upstream by a key of
-four bytes and the sender only by its name and incarnation. The reader skips the load of an upstream
-that it does not know, or whose key two of its upstreams share.
+four bytes and the sender only by its name and incarnation. The recipient ignores a load
+whose key belongs to none of its upstreams, or to two of them.
 """
 
 from __future__ import annotations
@@ -34,7 +34,8 @@
     Attributes:
         name: Name of the sender.
         incarnation: Incarnation of the sender's process.
-        sequence: Grows with each hint of the process; a hint that a newer one overtook is ignored.
+        sequence: Increases with each hint of the process; a hint that arrives after a newer hint is
+            ignored.
         loads: Requests in flight, by the upstream's key.
         backlog: Batch items that wait at the sender.
         counts: Changed counts of the requests that the sender has admitted, by the organisation's
@@ -151,7 +152,7 @@
     """Read a decoded datagram as a counts hint.
 
     Returns:
-        The counts hint, or ``None`` if the datagram is of another kind.
+        The counts hint, or ``None`` if the datagram is of another kind or form.
 
     Raises:
         UnusableRecordError: The counts are invalid.
--- a/packages/node/src/carobspool_node/direct/_loads.py
+++ b/packages/node/src/carobspool_node/direct/_loads.py
@@ -42,7 +42,7 @@
     Args:
         clock: The process's clock.
         failure_domain: Failure domain in which this entry runs.
-        name: Name under which peers know this entry.
+        name: Name of this entry, as in its hints to peers.
     """
 
     def __init__(self, clock: Clock, failure_domain: str, *, name: str) -> None:
@@ -54,12 +54,16 @@
         self._fleet = FleetLoads()
         self._suspects = Suspects()
         self._durations: dict[str, MeanDuration] = {}
-        self._on_change: Callable[[], None] = lambda: None
+        self._on_capacity_freed: Callable[[], None] = lambda: None
         self._on_own_change: Callable[[], None] = lambda: None
 
     def set_departure_callback(self, callback: Callable[[], None]) -> None:
-        """Set the callback for a request of this entry or of a peer that has left an upstream."""
-        self._on_change = callback
+        """Set the callback for freed capacity at an upstream.
+
+        A request or batch item of this entry or of a peer has ended there, or the upstream has
+        restarted.
+        """
+        self._on_capacity_freed = callback
 
     def set_own_change_callback(self, callback: Callable[[], None]) -> None:
         """Set the callback for the start or end of a request or batch item of this entry."""
@@ -78,10 +82,10 @@
 
         Args:
             upstreams: Preferred candidates.
-            target_latency: Time within which the answer is on time.
+            target_latency: Longest time to the answer that counts as on time.
             is_retry: Whether the caller retries after a refusal.
             excluded: Identities of upstreams that this request has already tried.
-            far: Candidates for when all preferred ones are full or suspect. Their loads are
+            far: Candidates to use when all preferred upstreams are full or suspect. Their loads are
                 known from heartbeats only.
 
         Returns:
@@ -118,7 +122,7 @@
             if chosen is None:
                 return None
             load = loads.get(chosen.identity, NO_LOAD)
-            self._own_requests(chosen, now).online += 1
+            self._get_or_add_own(chosen, now).online += 1
             self._fleet.add_own(chosen.identity, online=1)
             preempted = self._runs_to_preempt(chosen, now, own_first=True)
         self._on_own_change()
@@ -160,7 +164,7 @@
             if completed and placement.had_free_slot:
                 self._mean_duration(upstream.service).add(self._clock.now() - placement.started)
         self._on_own_change()
-        self._on_change()
+        self._on_capacity_freed()
 
     def place_batch(
         self, upstreams: Sequence[Upstream], *, urgency: BatchUrgency, due: float
@@ -186,7 +190,7 @@
             if chosen is None:
                 return None
             run = BatchRun(started=now, urgency=urgency, due=due)
-            self._own_requests(chosen, now).runs.append(run)
+            self._get_or_add_own(chosen, now).runs.append(run)
             self._fleet.add_own(chosen.identity, batch=1)
         self._on_own_change()
         return chosen, run
@@ -207,7 +211,7 @@
             self._fleet.add_own(upstream.identity, batch=-1)
             self._drop_if_idle(own)
         self._on_own_change()
-        self._on_change()
+        self._on_capacity_freed()
 
     def mean_duration(self, service: str) -> Millis:
         """Return the mean duration of a service's requests that found a free slot."""
@@ -217,7 +221,8 @@
     def record_failure(self, upstream: Upstream) -> None:
         """Record a failure at an upstream, which is then avoided for a while.
 
-        Hints to the other entries report the failure too.
+        Hints report the failure to the other entries. A failure of an upstream that has restarted
+        since is ignored.
         """
         with self._lock:
             self._suspects.record_failure(upstream, self._clock.now())
@@ -262,7 +267,7 @@
         with self._lock:
             if not knows_starts:
                 loads = self._by_current_identity(loads, upstreams)
-            frees_room = self._fleet.update_peer(peer, loads, now)
+            frees_capacity = self._fleet.update_peer(peer, loads, now)
             if failures is not None:
                 self._suspects.merge_peer_failures(peer, failures, now)
             for identity in loads:
@@ -271,14 +276,14 @@
                     preempted.extend(self._runs_to_preempt(own.upstream, now, own_first=False))
         for run in preempted:
             run.cancellation.cancel(PREEMPTED_BY_PEER_REQUESTS)
-        if frees_room:
-            self._on_change()
+        if frees_capacity:
+            self._on_capacity_freed()
 
     def record_restart(self, upstream: Upstream) -> None:
         """Record that an upstream has restarted, which leaves its slots free."""
         with self._lock:
             self._suspects.record_restart(upstream)
-        self._on_change()
+        self._on_capacity_freed()
 
     def own_loads(self) -> dict[str, Load]:
         """Return the requests that this entry has in flight, by the upstream's identity."""
@@ -319,7 +324,8 @@
     def _mean_duration(self, service: str) -> MeanDuration:
         return self._durations.setdefault(service, MeanDuration())
 
-    def _own_requests(self, upstream: Upstream, now: Millis) -> UpstreamInFlight:
+    def _get_or_add_own(self, upstream: Upstream, now: Millis) -> UpstreamInFlight:
+        """Return this entry's work at an upstream; add an empty record if there is none."""
         own = self._own.get(upstream.identity)
         if own is None:
             own = UpstreamInFlight(upstream=upstream, last_activity_at=now)
@@ -339,7 +345,7 @@
             upstream: The upstream.
             now: Current time of the clock.
             own_first: Whether this entry has just placed the request that needs the slot. The
-                entry then preempts its own runs, since no peer knows of the request yet.
+                entry then preempts its own runs, since no peer has received the request's hint yet.
         """
         own = self._own.get(upstream.identity)
         if own is None or not own.runs:
--- a/packages/node/src/carobspool_node/direct/_membership.py
+++ b/packages/node/src/carobspool_node/direct/_membership.py
@@ -30,10 +30,11 @@
 """Pause between two watches of the entries. Hints report a new entry much sooner."""
 MAX_DISAGREEMENT: Millis = 4_000.0
 """Time for which entries may know different sets of entries before the list is read again. A new
-entry announces itself to all entries in the list, and all hear it within about two seconds."""
+entry announces itself to all entries in the list, and all receive the announcement within about two
+seconds."""
 SETTLE_TIME: Millis = 800.0
-"""Time for a new process to hear of the other entries: it announces itself to all entries in the
-list, and their next announcements arrive within 500 ms."""
+"""Time for a new process to discover the other entries: the process announces itself to all entries
+in the list, and their next announcements arrive within 500 ms."""
 REREAD_INTERVAL: Millis = 10_000.0
 """Minimum time between two readings of the list while entries disagree."""
 RETRY_PAUSE_S, RETRY_JITTER_S = 0.3, 0.3
@@ -98,7 +99,7 @@
         return {NAMES_VERSION: self._peers.names_digest()}
 
     def refresh_if_behind(self, versions: Mapping[str, int]) -> None:
-        """Read the list again if other processes have known other entries for too long."""
+        """Read the list again if other processes have listed different entries for too long."""
         self._names_view.version = self._peers.names_digest()
         digest = versions.get(NAMES_VERSION, 0)
         if digest and self._names_view.should_reread_for_digest(digest, self._clock.now()):
@@ -115,7 +116,7 @@
         return should_watch_store(own, others)
 
     def has_duty(self, duty: str) -> bool:
-        """Whether this entry, among those that reach the store, performs a duty for all."""
+        """Whether this entry, among those that reach the store, performs a duty for all entries."""
         nodes = [each.name for each in self._peers.live() if each.store_ok and not each.leaving]
         nodes.append(self._node)
         return preferred_node(duty, nodes) == self._node
@@ -136,6 +137,7 @@
                 return
 
     def _write_address(self) -> bool:
+        """Write this entry's address; return whether the store holds the address."""
         key = f"entries/{self._node}"
         value = {"address": list(self._address)}
         created = self._store.create(key, value)
--- a/packages/node/src/carobspool_node/direct/_messages.py
+++ b/packages/node/src/carobspool_node/direct/_messages.py
@@ -117,11 +117,12 @@
         names: Header names of the deployment.
         organisation: Name of the caller's organisation; empty if the caller has none, ``None`` if
             no organisations are declared, in which case the headers are returned unchanged.
+            Otherwise an organisation header that the caller sent is removed.
     """
     if organisation is None:
         return headers
-    hidden = (AUTHORIZATION, names.organisation)
-    found = [(key, value) for key, value in headers if key.lower() not in hidden]
+    removed = (AUTHORIZATION, names.organisation)
+    found = [(key, value) for key, value in headers if key.lower() not in removed]
     if organisation:
         found.append((names.organisation, organisation.encode()))
     return found
--- a/packages/node/src/carobspool_node/direct/_metrics.py
+++ b/packages/node/src/carobspool_node/direct/_metrics.py
@@ -21,7 +21,7 @@
 
 _PREFIX = "carobspool_"
 _LATENCY_BUCKETS_S = (0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0, 5.0, 10.0, 20.0)
-_LABELS = {
+_COUNTER_LABELS = {
     "requests": ("route", "outcome"),
     "upstream_failures": ("service",),
     "upstream_restarts": ("service",),
@@ -35,7 +35,7 @@
     "over_limit": (),
     "log_lines_dropped": (),
 }
-_TIMES = ("request", "first_event", "job_commit", "item_run", "job_orphan")
+_HISTOGRAM_NAMES = ("request", "first_event", "job_commit", "item_run", "job_orphan")
 
 
 class _Histogram:
@@ -49,28 +49,30 @@
 
 
 class Metrics:
-    """The metrics of one process; safe to use from several threads."""
+    """The metrics of one process. Thread-safe."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         # The first export imports the library; a second thread would find it partly imported.
         self._export_lock = threading.Lock()
-        self._counts: dict[str, Counter[tuple[str, ...]]] = {name: Counter() for name in _LABELS}
-        self._times = {name: _Histogram() for name in _TIMES}
+        self._counters: dict[str, Counter[tuple[str, ...]]] = {
+            name: Counter() for name in _COUNTER_LABELS
+        }
+        self._histograms = {name: _Histogram() for name in _HISTOGRAM_NAMES}
 
     def count(self, name: str, value: int = 1, **labels: str) -> None:
         """Add to a counter."""
-        key = tuple(labels[label] for label in _LABELS[name])
+        key = tuple(labels[label] for label in _COUNTER_LABELS[name])
         with self._lock:
-            self._counts[name][key] += value
+            self._counters[name][key] += value
 
     def observe_duration(self, name: str, duration: Millis) -> None:
         """Record a duration in milliseconds."""
         seconds = duration / 1000.0
-        latencies = self._times[name]
+        histogram = self._histograms[name]
         with self._lock:
-            latencies.counts[bisect_left(_LATENCY_BUCKETS_S, seconds)] += 1
-            latencies.total += seconds
+            histogram.counts[bisect_left(_LATENCY_BUCKETS_S, seconds)] += 1
+            histogram.total += seconds
 
     def text(self) -> bytes:
         """Return all metrics in the Prometheus text format."""
@@ -82,18 +84,20 @@
     def collect(self) -> Iterator[Any]:
         """Yield each metric; called by the library's registry."""
         with self._lock:
-            counts = {name: dict(found) for name, found in self._counts.items()}
-            times = {name: (list(each.counts), each.total) for name, each in self._times.items()}
+            counts = {name: dict(found) for name, found in self._counters.items()}
+            durations_by_name = {
+                name: (list(each.counts), each.total) for name, each in self._histograms.items()
+            }
         for name, by_labels in counts.items():
             counter = prometheus.metrics_core.CounterMetricFamily(
-                _PREFIX + name, name, labels=_LABELS[name]
+                _PREFIX + name, name, labels=_COUNTER_LABELS[name]
             )
-            if not _LABELS[name]:
+            if not _COUNTER_LABELS[name]:
                 by_labels.setdefault((), 0)
             for labels, value in by_labels.items():
                 counter.add_metric(labels, value)
             yield counter
-        for name, (buckets, total) in times.items():
+        for name, (buckets, total) in durations_by_name.items():
             histogram = prometheus.metrics_core.HistogramMetricFamily(
                 f"{_PREFIX}{name}_seconds", name
             )
--- a/packages/node/src/carobspool_node/direct/_open_calls.py
+++ b/packages/node/src/carobspool_node/direct/_open_calls.py
@@ -1,9 +1,9 @@
 """Tracks calls in progress, and ends them when their upstream restarts under the same id.
 
-An upstream can lose its network with calls in progress, crash and restart. No reset arrives, so
-online requests would wait until their time limit, and batch items until their silence limit, for a
-process that no longer exists. The registration of the new start shows that no answer will come, and
-these calls are ended.
+An upstream can lose its network while calls are in progress, then crash and restart. No
+reset arrives, so online requests would wait until their time limit, and batch items until their
+silence limit, for a process that no longer exists. The registration of the new start shows that no
+answer will come, and these calls are ended.
 
 A registration is known some 0.3 s after the start that it describes. Calls sent in the meantime on
 a new connection have reached the new start and must not be ended. Therefore a call that has just
--- a/packages/node/src/carobspool_node/direct/_owned_job.py
+++ b/packages/node/src/carobspool_node/direct/_owned_job.py
@@ -59,10 +59,10 @@
         self._changed = threading.Condition(self._lock)
         self._commit_lock = threading.Lock()
         self._runs: set[BatchRun] = set()
-        self._next_commit: Millis = 0.0
+        self._next_commit_at: Millis = 0.0
         self._retry_at: Millis = 0.0
-        self._retry_pause: Millis = COMMIT_RETRY_DELAY
-        self._next_checkpoint: Millis = clock.now() + CHECKPOINT_INTERVAL
+        self._retry_delay: Millis = COMMIT_RETRY_DELAY
+        self._next_checkpoint_at: Millis = clock.now() + CHECKPOINT_INTERVAL
         self._events_committed = self._work.events_received
         self._lost = False
         self._releasing = False
@@ -186,8 +186,8 @@
             if self._lost or now < self._retry_at:
                 return False
             if not self._work.has_uncommitted:
-                return now >= self._next_checkpoint and self._has_uncommitted_events()
-            return now >= self._next_commit or self._work.all_items_finished
+                return now >= self._next_checkpoint_at and self._has_uncommitted_events()
+            return now >= self._next_commit_at or self._work.all_items_finished
 
     def needs_final_commit(self) -> bool:
         """Whether the job has uncommitted progress that its next owner can use."""
@@ -202,16 +202,16 @@
             with self._lock:
                 progress = self._work.progress_to_commit(self._owner)
                 self._events_committed = self._work.events_received
-                self._next_commit = self._clock.now() + COMMIT_INTERVAL
-                self._next_checkpoint = self._clock.now() + CHECKPOINT_INTERVAL
-            started = self._clock.now()
+                self._next_commit_at = self._clock.now() + COMMIT_INTERVAL
+                self._next_checkpoint_at = self._clock.now() + CHECKPOINT_INTERVAL
+            requested_at = self._clock.now()
             written = self._records.write_progress(
                 self.job_id, progress, version=self._version, segments=self._segments
             )
             if is_successful(written):
-                self._apply_stored(written.unwrap(), started)
+                self._apply_stored(written.unwrap(), requested_at)
                 return True
-            return self._handle_failed_commit(written.failure(), started)
+            return self._handle_failed_commit(written.failure(), requested_at)
 
     def verify(self) -> bool:
         """Read the progress from the store; return whether it confirms this entry as the owner.
@@ -219,7 +219,7 @@
         When the progress shows that the job was ended through another entry, the job ends here too
         and starts no further items.
         """
-        started = self._clock.now()
+        requested_at = self._clock.now()
         read = self._records.read_progress(self.job_id)
         if is_successful(read):
             progress = read.unwrap().progress
@@ -230,9 +230,9 @@
             # to take them over.
             if progress.ended:
                 self._apply_stored_end("proof")
-            self._proof.renew(started)
+            self._proof.renew(requested_at)
             return True
-        return self._handle_failed_read(read.failure(), started)
+        return self._handle_failed_read(read.failure(), requested_at)
 
     def results_after(self, after: int, wait_until: Millis) -> list[ItemResult] | None:
         """Return the committed results after a position, or ``None`` if the ownership is lost.
@@ -255,15 +255,15 @@
             return False
         return self._work.events_received != self._events_committed
 
-    def _apply_stored(self, stored: StoredProgress, started: Millis) -> None:
+    def _apply_stored(self, stored: StoredProgress, requested_at: Millis) -> None:
         with self._lock:
             if stored.progress.ended:
                 self._apply_stored_end("commit")
-            self._retry_pause = COMMIT_RETRY_DELAY
+            self._retry_delay = COMMIT_RETRY_DELAY
             self._version = stored.version
             self._segments = stored.segments
             self._work.apply_stored_progress(stored.progress)
-            self._proof.renew(started)
+            self._proof.renew(requested_at)
             self._changed.notify_all()
 
     def _handle_failed_read(self, failure: StoreFailure, requested_at: Millis) -> bool:
@@ -277,13 +277,13 @@
         self.mark_lost()
         return False
 
-    def _handle_failed_commit(self, failure: StoreFailure, started: Millis) -> bool:
+    def _handle_failed_commit(self, failure: StoreFailure, requested_at: Millis) -> bool:
         with self._lock:
             self._work.mark_uncommitted()
-            self._retry_at = self._clock.now() + self._retry_pause
-            self._retry_pause = min(MAX_COMMIT_RETRY_DELAY, self._retry_pause * 2.0)
+            self._retry_at = self._clock.now() + self._retry_delay
+            self._retry_delay = min(MAX_COMMIT_RETRY_DELAY, self._retry_delay * 2.0)
         if failure.fault is StoreFault.NOT_FOUND:
-            return self._handle_failed_read(failure, started)
+            return self._handle_failed_read(failure, requested_at)
         if failure.fault is not StoreFault.CONFLICT or failure.current is None:
             self._proof.record_store_failure()
             return False
@@ -294,5 +294,5 @@
             self.mark_lost()
             return False
         # The stored progress is an earlier write of this entry whose answer was lost.
-        self._apply_stored(current.unwrap(), started)
+        self._apply_stored(current.unwrap(), requested_at)
         return False
--- a/packages/node/src/carobspool_node/direct/_packed_answer.py
+++ b/packages/node/src/carobspool_node/direct/_packed_answer.py
@@ -23,7 +23,7 @@
 
 
 class AnswerPacker:
-    """Compresses answers and caches the last one of each kind. Safe for threads."""
+    """Compresses answers and caches the last answer of each kind. Thread-safe."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
--- a/packages/node/src/carobspool_node/direct/_peer.py
+++ b/packages/node/src/carobspool_node/direct/_peer.py
@@ -1,4 +1,4 @@
-"""Define what an entry knows of a peer, and the content of its own announcements."""
+"""Define an entry's record of a peer, and the content of the entry's own announcements."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
     Attributes:
         name: Name of the peer.
-        incarnation: Identifier of the peer's process; each start has another.
+        incarnation: Identifier of the peer's process; changes at each start.
         address: Address at which the peer receives hints and calls.
         last_heard_at: Time at which its last hint arrived.
         open_jobs: Jobs that the peer works on.
--- a/packages/node/src/carobspool_node/direct/_peer_api.py
+++ b/packages/node/src/carobspool_node/direct/_peer_api.py
@@ -54,7 +54,7 @@
         try:
             data = cbor2.dumps(answer)
         except (ValueError, cbor2.CBOREncodeError) as error:
-            # A result's text may stand for bytes that are not UTF-8, which CBOR cannot encode. The
+            # A result's text may represent bytes that are not UTF-8, which CBOR cannot encode. The
             # peer then reads the result from the store.
             logging.warning("event=peer_answer_failed path=%s reason=%r", request.path, error)
             status, data = 500, b""
--- a/packages/node/src/carobspool_node/direct/_peer_messages.py
+++ b/packages/node/src/carobspool_node/direct/_peer_messages.py
@@ -1,8 +1,8 @@
-"""Define and validate the messages between entries before any of their content is used.
+"""Define the messages between entries, and validate each message before its content is used.
 
-Any process can send a datagram or make a call, and entries of other versions do. Without validation
-a single hint with a field of the wrong type ended the thread that receives hints; the entry then
-declared every peer dead and ran their jobs again.
+Any process can send a datagram or make a call, and entries of other versions send both. Without
+validation a single hint with a field of the wrong type ended the thread that receives hints; the
+entry then declared every peer dead and ran their jobs again.
 """
 
 from __future__ import annotations
@@ -30,10 +30,10 @@
 MAX_NAME_CHARS = 200
 """Longest name of an entry, an upstream or a job."""
 MAX_COUNT = 2**53
-"""Largest integer that every reader represents exactly; counts are far below it."""
+"""Largest integer that every reader represents exactly; counts stay far below this bound."""
 MAX_DIGEST = 2**64 - 1
 MAX_WAIT_MS = 86_400_000.0
-"""Longest time for which a peer may let a read wait: a day, which a thread can sleep."""
+"""Longest wait that a peer may request for a read: one day, which a thread can sleep."""
 HIGHEST_PORT = 65_535
 
 Name = Annotated[str, Bounds(min_length=1, max_length=MAX_NAME_CHARS)]
--- a/packages/node/src/carobspool_node/direct/_peer_table.py
+++ b/packages/node/src/carobspool_node/direct/_peer_table.py
@@ -25,7 +25,7 @@
     Attributes:
         current: Addresses of live entries that read load hints, by name.
         count_readers: Names of those entries that read request counts too.
-        others: Addresses of entries of the previous version, and of entries that are not heard.
+        others: Addresses of entries of the previous version, and of entries without a recent hint.
     """
 
     current: Mapping[str, tuple[str, int]]
@@ -55,7 +55,7 @@
 
 
 class PeerTable:
-    """The other entries by name; safe for threads.
+    """The other entries by name. Thread-safe.
 
     Args:
         clock: A clock that keeps running while the host is suspended.
@@ -97,7 +97,7 @@
             return self._names_digest
 
     def live(self) -> list[Peer]:
-        """Return the peers heard within `DEAD_AFTER`."""
+        """Return the peers whose last hint arrived within `DEAD_AFTER`."""
         now = self._clock.now()
         with self._lock:
             return [each for each in self._peers.values() if now - each.last_heard_at < DEAD_AFTER]
@@ -122,7 +122,7 @@
         )
 
     def known_peers(self) -> list[KnownPeer]:
-        """Return all other entries and when they were last heard, including those only listed."""
+        """Return all other entries with the arrival of their last hint, ``None`` if only listed."""
         with self._lock:
             found = [
                 KnownPeer(name=each.name, last_heard_at=each.last_heard_at, leaving=each.leaving)
@@ -132,14 +132,14 @@
         return found + [KnownPeer(name=name, last_heard_at=None) for name in listed]
 
     def pop_new_peers(self) -> set[str]:
-        """Return and clear the names of peers whose process was first heard since the last call."""
+        """Return and clear the names of peers with a new process since the last call."""
         with self._lock:
             found = self._new_peers
             self._new_peers = set()
         return found
 
     def members(self) -> frozenset[str]:
-        """Return the names of the peers heard within `FORGET_AFTER`, which covers a restart."""
+        """Return the names of peers with a hint within `FORGET_AFTER`, which covers a restart."""
         now = self._clock.now()
         with self._lock:
             return frozenset(
@@ -217,7 +217,8 @@
         """Record the sequence number of a hint.
 
         Returns:
-            Whether the hint is newer than all others of its process; false for unknown processes.
+            Whether the hint is newer than all earlier hints of its process; false for unknown
+            processes.
         """
         with self._lock:
             peer = self._peers.get(name)
@@ -242,8 +243,9 @@
         return True
 
     def check_silence(self) -> SilentPeers:
-        """Return the peers that have become lost or gone.
+        """Return the peers that have become lost or gone, and update the table.
 
+        The jobs of lost peers are cleared, and peers silent for `FORGET_AFTER` are removed.
         After a pause of this process no peer is declared lost.
         """
         now = self._clock.now()
--- a/packages/node/src/carobspool_node/direct/_peers.py
+++ b/packages/node/src/carobspool_node/direct/_peers.py
@@ -56,7 +56,7 @@
         identities_by_key: Returns the upstreams that load hints may name.
         has_unsent_counts: Returns whether a hint has to report request counts now.
         claim_unsent_counts: Returns the request counts for the next hint to all peers and marks
-            them as reported; takes whether the hint is a heartbeat.
+            them as reported; the argument states whether the hint is a heartbeat.
     """
 
     loads: Callable[[], Mapping[str, Load]]
@@ -78,7 +78,7 @@
         name: Name of this entry.
         incarnation: Incarnation of this process.
         address: Address at which this entry receives hints.
-        own: State of this entry to send.
+        own: Functions that supply the content of this entry's hints.
     """
 
     def __init__(
@@ -187,11 +187,11 @@
         self._announce_to(list(targets.current.values()), targets.others)
 
     def members(self) -> frozenset[str]:
-        """Return the names of the peers heard within `FORGET_AFTER`, which covers a restart."""
+        """Return the names of peers with a hint within `FORGET_AFTER`, which covers a restart."""
         return self._table.members()
 
     def known_peers(self) -> list[KnownPeer]:
-        """Return all other entries and when they were last heard, including those only listed."""
+        """Return all other entries with the arrival of their last hint, ``None`` if only listed."""
         return self._table.known_peers()
 
     def _announce_to(
@@ -213,7 +213,7 @@
     def _send_loop(self) -> None:
         announced_state: Hashable = None
         sent_loads: Mapping[str, Load] = {}
-        pace = LoadSendLimiter()
+        send_limiter = LoadSendLimiter()
         heartbeat_at: Millis = 0.0
         check_at: Millis = 0.0
         while not self._stopped.is_set():
@@ -237,11 +237,11 @@
                     targets = self._table.targets()
                     sharers = self._own.upstream_sharers()
                     recipients = len(targets.load_recipients(sharers))
-                    pause = pace.delay_before_send(now, peers=recipients)
+                    pause = send_limiter.delay_before_send(now, peers=recipients)
                     if pause <= 0.0:
                         sent_loads = loads
                         self._send_loads(loads, targets, sharers, is_heartbeat=False)
-                        pace.record_send(now, peers=recipients)
+                        send_limiter.record_send(now, peers=recipients)
                         pause = CHECK_INTERVAL
                 pause = min(pause, max(0.0, check_at - self._clock.now()))
             except Exception:  # noqa: BLE001
@@ -262,7 +262,10 @@
         self._announce_to((), targets.others)
 
     def _announce_to_new_peers(self) -> None:
-        """Announce to peers that have just started; they ignore load hints until then."""
+        """Send an announcement to peers that have just started.
+
+        A peer ignores the load hints of this entry until it has an announcement.
+        """
         names = self._table.pop_new_peers()
         if names:
             current = self._table.targets().current
--- a/packages/node/src/carobspool_node/direct/_reload.py
+++ b/packages/node/src/carobspool_node/direct/_reload.py
@@ -12,7 +12,7 @@
 from carobspool_node.direct._settings import DirectSettings, load_direct_settings
 
 RELOADABLE = frozenset(("log_level",))
-"""Settings that apply without a restart. Changes of the others are logged as needing a restart."""
+"""Settings that apply without a restart. Other changed settings are logged as needing a restart."""
 
 
 class SettingsReload:
--- a/packages/node/src/carobspool_node/direct/_request_endings.py
+++ b/packages/node/src/carobspool_node/direct/_request_endings.py
@@ -61,9 +61,9 @@
 
     def record(self, state: RequestState, outcome: str, status: int) -> None:
         """Log and count a request's outcome; ``status`` is 0 if its answer was not completed."""
-        took = self._clock.now() - state.request.arrived
+        duration = self._clock.now() - state.request.arrived
         self._telemetry.count("requests", route=state.route.kind.value, outcome=outcome)
-        self._telemetry.observe_duration("request", took)
+        self._telemetry.observe_duration("request", duration)
         logging.info(
             "event=request request=%s route=%s outcome=%s status=%d runs=%d turned_away=%d"
             " upstreams=%s took_ms=%.0f failure=%r",
@@ -74,7 +74,7 @@
             state.runs,
             state.turned_away,
             ",".join(state.upstream_loads),
-            took,
+            duration,
             state.last_failure,
         )
 
--- a/packages/node/src/carobspool_node/direct/_store_relay.py
+++ b/packages/node/src/carobspool_node/direct/_store_relay.py
@@ -1,7 +1,7 @@
 """Call the object store, through another entry if the store does not serve this one.
 
-The store sometimes refuses single hosts while it serves others, or becomes unreachable from them.
-Without a relay such an entry could accept no jobs and commit no results, and would serve an
+The store sometimes refuses individual hosts while it serves others, or becomes unreachable from
+them. Without a relay such an entry could accept no jobs and commit no results, and would serve an
 outdated configuration, until the store serves it again.
 
 Writes are conditional: they create an object or name the version that they replace. So a write
@@ -91,12 +91,12 @@
 
     @property
     def last_call_answered(self) -> bool:
-        """Whether the store answered the last call of this process."""
+        """Whether no call has been refused or left unanswered since the last successful call."""
         return self._refused_until <= 0.0
 
     @property
     def answer_age(self) -> Millis:
-        """Time since the store last answered this process."""
+        """Time since the last successful call of this process to the store, or since the start."""
         return self._clock.now() - self._answered_at
 
     def get(self, key: str) -> Result[StoredObject, StoreFailure]:
@@ -207,7 +207,7 @@
 
     def _relay(self, operation: str, key: str, extra: dict[str, Any]) -> StoreResult | None:
         peers = [each for each in self._peers().live() if each.store_ok and not each.leaving]
-        # Most entries call the store rarely, so what they report of it may be long out of date.
+        # Most entries call the store rarely, so a reported store state may be long out of date.
         peers.sort(key=lambda each: (each.answer_age, -each.last_heard_at))
         body = {"op": operation, "key": key, **extra}
         unknown: StoreResult | None = None
@@ -250,6 +250,7 @@
 
 
 def encode_store_result(answer: StoreResult) -> Json:
+    """Encode the result of a relayed call; values that CBOR cannot encode become ``None``."""
     if is_successful(answer):
         found = answer.unwrap()
         if isinstance(found, ObjectPage):
--- a/packages/node/src/carobspool_node/direct/_suspects.py
+++ b/packages/node/src/carobspool_node/direct/_suspects.py
@@ -18,7 +18,7 @@
 
 
 class Suspects:
-    """Upstreams that recently failed. Not safe for threads; callers pass the current time."""
+    """Upstreams that recently failed. Not thread-safe; callers pass the current time."""
 
     __slots__ = ("_failures", "_logged_as_avoided", "_restarts", "_suspect_until")
 
--- a/packages/node/src/carobspool_node/direct/_upstream_calls.py
+++ b/packages/node/src/carobspool_node/direct/_upstream_calls.py
@@ -29,6 +29,7 @@
 MAX_IDLE_PER_UPSTREAM = 24
 """Three times the slots of an engine; more connections to one upstream are never in use at once."""
 MAX_STRAY_ANSWERS = 4
+"""Answers to earlier requests after which a connection counts as broken."""
 _UPSTREAM_RESTARTED = "the upstream has started again"
 
 
@@ -270,7 +271,13 @@
     def _await_answer(
         self, channel: Channel, deadline: Millis, idle_deadline: Callable[[], Millis] | None
     ) -> None:
-        """Wait for the first bytes of the answer until the idle deadline or ``deadline``."""
+        """Wait for the first bytes of the answer until the idle deadline or ``deadline``.
+
+        Without an idle deadline, return at once.
+
+        Raises:
+            DeadlinePassedError: One of the deadlines has passed without data.
+        """
         if idle_deadline is None:
             return
         while True:
@@ -304,6 +311,7 @@
         raise ConnectionBrokenError("only answers to other requests")
 
     def _skip_answer(self, channel: Channel, request: UpstreamRequest, deadline: Millis) -> None:
+        """Discard an answer to an earlier request; keep the data received after that answer."""
         while not isinstance(channel.next_event(deadline, self._watch), h11.EndOfMessage):
             pass
         rest = channel.http.trailing_data[0]
--- a/packages/node/src/carobspool_node/direct/_view_exchange.py
+++ b/packages/node/src/carobspool_node/direct/_view_exchange.py
@@ -1,8 +1,8 @@
 """Fetch the configuration and the registered upstreams from another entry instead of the store.
 
 A few entries follow the store (`should_watch_store`). The other entries see in announcements that a
-peer has a newer version, and fetch the whole view from it. What no peer can provide they read from
-the store.
+peer has a newer version, and fetch the whole view from it. They read from the store what no
+peer can provide.
 """
 
 from __future__ import annotations
@@ -137,7 +137,7 @@
             peer = self._peer(name)
             if peer is not None and self._start_pull(kind):
                 self._pulls.submit(self._pull, kind, peer)
-        # A view that still differs after the time of such a call is read from the store.
+        # A view that still differs after the time for such a call is read from the store.
         self._declared.refresh_if_behind(versions)
 
     def confirm_configuration(self) -> bool:
@@ -205,8 +205,8 @@
             with self._lock:
                 self._pulling.discard(kind)
                 if not adopted:
-                    again = self._clock.now() + PULL_RETRY_PAUSE
-                    self._no_pull_before = max(self._no_pull_before, again)
+                    retry_at = self._clock.now() + PULL_RETRY_PAUSE
+                    self._no_pull_before = max(self._no_pull_before, retry_at)
         logging.info(
             "event=view_taken kind=%s peer=%s done=%s took_ms=%.0f reason=%r",
             kind,
