--- a/packages/core/src/carobspool_core/direct/_placement.py
+++ b/packages/core/src/carobspool_core/direct/_placement.py
@@ -47,7 +47,7 @@
 """Breaks ties in favour of the same failure domain; far below the score of one slot, so that no
 request waits for it."""
 _JITTER = 0.01
-_random = random.Random()
+_draw = random.Random()
 
 
 def choose_upstream(
@@ -75,7 +75,7 @@
         suspects: Identities of upstreams that seem to have stopped.
         draw: Random numbers for the sample and for ties.
     """
-    draw = draw or _random
+    draw = draw or _draw
     sampled = _sample_healthy(upstreams, suspects, draw)
     if sampled:
         chosen = _least_loaded(sampled, loads, failure_domain, queue_limit_of, suspects, draw)
@@ -135,7 +135,7 @@
     draw: random.Random | None = None,
 ) -> Upstream | None:
     """Return the upstream with the largest share of free slots for a batch item, if any."""
-    draw = draw or _random
+    draw = draw or _draw
     best: Upstream | None = None
     best_score = float("inf")
     for upstream in upstreams:
