--- a/packages/core/src/carobspool_core/_admission.py
+++ b/packages/core/src/carobspool_core/_admission.py
@@ -163,6 +163,8 @@
     ) -> None:
         """Record that a request was preempted, and queue it again ahead of new batch requests.
 
+        A suspect is queued again at the head of the queue of suspects.
+
         Args:
             id: The request.
             now: When the request was cancelled at the upstream.
@@ -188,8 +190,8 @@
         """Return how many further batch requests the entries may send."""
         settings = self._settings
         if settings.mode is not AdmissionMode.POLICY:
-            held = self._streams.batch_count + len(self._batch)
-            return max(0, settings.slots + settings.batch_backlog - held)
+            present = self._streams.batch_count + len(self._batch)
+            return max(0, settings.slots + settings.batch_backlog - present)
         free = max(0, settings.slots - len(self._streams) - self._batch.parked)
         return max(0, settings.batch_backlog + free - len(self._batch.fresh))
 
--- a/packages/core/src/carobspool_core/_dispatch.py
+++ b/packages/core/src/carobspool_core/_dispatch.py
@@ -109,8 +109,8 @@
         """
         self._due_times.refresh(self._jobs.values(), self._entry_count, now)
         dispatched: list[str] = []
-        # The remainder carries over to the next call: credits may arrive singly, and half of one
-        # credit would round to none or to all of it.
+        # The remainder carries over to the next call: credits may arrive singly, and half of a
+        # single credit would round to 0 or to 1.
         earned = self._urgent_credits + credits * URGENT_SHARE
         self._urgent_credits = min(earned, max(1.0, float(credits)))
         while len(dispatched) < credits:
@@ -119,7 +119,7 @@
                 self._urgent_credits -= 1.0
                 job.consume_item()
             else:
-                job = self._next_by_share()
+                job = self._dispatch_by_share()
             if job is None:
                 break
             dispatched.append(job.id)
@@ -128,7 +128,7 @@
         )
         return dispatched
 
-    def _next_by_share(self) -> QueuedJob | None:
+    def _dispatch_by_share(self) -> QueuedJob | None:
         """Consume an item of the job that is next by fair shares, and return that job."""
         while self._ready:
             virtual_time, _, organisation = heapq.heappop(self._ready)
--- a/packages/core/src/carobspool_core/_due_times.py
+++ b/packages/core/src/carobspool_core/_due_times.py
@@ -65,7 +65,8 @@
     def refresh(self, jobs: Iterable[QueuedJob], entry_count: int, now: Millis) -> None:
         """Find the urgent jobs again, unless the last check is less than an interval ago.
 
-        A job is urgent when its due time is no later than the last due time at risk.
+        A job is urgent when its due time is no later than the last due time at risk. Jobs past
+        their due time are left out.
         """
         if now - self._checked_at < CHECK_INTERVAL:
             return
--- a/packages/core/src/carobspool_core/_fairqueue.py
+++ b/packages/core/src/carobspool_core/_fairqueue.py
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True)
 class _CallerBacklog(Generic[T]):
-    """The waiting requests of one caller; ``order`` identifies its only valid entry in the heap."""
+    """The waiting requests of one caller; ``order`` identifies its valid entry in ``_heads``."""
 
     weight: float
     start: float
@@ -66,7 +66,7 @@
         self._caller_of: dict[RequestId, str] = {}
         self._heads: list[tuple[float, int, str]] = []
         self._deadlines: list[tuple[Millis, int, RequestId]] = []
-        self._loads: list[tuple[float, int, str]] = []
+        self._weighted_costs: list[tuple[float, int, str]] = []
         self._idle_tags: dict[str, float] = {}
         self._idle_heap: list[tuple[float, str]] = []
         self._virtual_time = 0.0
@@ -192,8 +192,8 @@
         backlog = self._backlogs.get(ticket.caller)
         if backlog is not None and len(backlog.tickets) >= self._bounds.per_caller:
             return queue_full(self.predicted_wait(ticket.caller, ticket.weight))
-        late = now + self.predicted_wait(ticket.caller, ticket.weight) - ticket.start_by
-        return deadline_unreachable(late) if late > 0.0 else None
+        lateness = now + self.predicted_wait(ticket.caller, ticket.weight) - ticket.start_by
+        return deadline_unreachable(lateness) if lateness > 0.0 else None
 
     def _insert(self, ticket: FairQueueItem[T]) -> None:
         backlog = self._backlogs.get(ticket.caller)
@@ -205,7 +205,7 @@
         self._caller_of[ticket.id] = ticket.caller
         self._order += 1
         heapq.heappush(self._deadlines, (ticket.start_by, self._order, ticket.id))
-        heapq.heappush(self._loads, (-backlog.weighted_cost, self._order, ticket.caller))
+        heapq.heappush(self._weighted_costs, (-backlog.weighted_cost, self._order, ticket.caller))
         self._rebuild_stale_heaps()
 
     def _open_backlog(self, ticket: FairQueueItem[T]) -> _CallerBacklog[T]:
@@ -221,6 +221,7 @@
         return backlog
 
     def _detach(self, ticket: FairQueueItem[T], backlog: _CallerBacklog[T]) -> None:
+        """Remove a waiting request, and close or requeue its caller's backlog."""
         del backlog.tickets[ticket.id]
         del self._caller_of[ticket.id]
         backlog.cost -= ticket.cost
@@ -248,7 +249,7 @@
         self._idle_tags.clear()
         self._heads.clear()
         self._deadlines.clear()
-        self._loads.clear()
+        self._weighted_costs.clear()
         self._idle_heap.clear()
         self._virtual_time = self._cost = self._busy_weight = 0.0
 
@@ -260,18 +261,18 @@
 
     def _heaviest(self) -> str:
         while True:
-            weighted_cost, order, caller = self._loads[0]
+            weighted_cost, order, caller = self._weighted_costs[0]
             backlog = self._backlogs.get(caller)
             if backlog is not None and -backlog.weighted_cost == weighted_cost:
                 return caller
-            heapq.heappop(self._loads)
+            heapq.heappop(self._weighted_costs)
             if backlog is not None:
-                heapq.heappush(self._loads, (-backlog.weighted_cost, order, caller))
+                heapq.heappush(self._weighted_costs, (-backlog.weighted_cost, order, caller))
 
     def _is_lighter(self, ticket: FairQueueItem[T], heaviest: str) -> bool:
         backlog = self._backlogs.get(ticket.caller)
-        held = 0.0 if backlog is None else backlog.cost
-        return (held + ticket.cost) / ticket.weight < self._backlogs[heaviest].weighted_cost
+        queued_cost = 0.0 if backlog is None else backlog.cost
+        return (queued_cost + ticket.cost) / ticket.weight < self._backlogs[heaviest].weighted_cost
 
     def _evict_newest(self, caller: str) -> FairQueueItem[T]:
         backlog = self._backlogs[caller]
@@ -286,12 +287,12 @@
         if len(self._deadlines) > 2 * len(self._caller_of) + _MIN_STALE_ENTRIES:
             self._deadlines = [entry for entry in self._deadlines if entry[2] in self._caller_of]
             heapq.heapify(self._deadlines)
-        if len(self._loads) > 2 * len(self._backlogs) + _MIN_STALE_ENTRIES:
-            held = enumerate(self._backlogs.items())
-            self._loads = [
-                (-backlog.weighted_cost, index, caller) for index, (caller, backlog) in held
+        if len(self._weighted_costs) > 2 * len(self._backlogs) + _MIN_STALE_ENTRIES:
+            numbered = enumerate(self._backlogs.items())
+            self._weighted_costs = [
+                (-backlog.weighted_cost, index, caller) for index, (caller, backlog) in numbered
             ]
-            heapq.heapify(self._loads)
+            heapq.heapify(self._weighted_costs)
         if len(self._heads) > 2 * len(self._backlogs) + _MIN_STALE_ENTRIES:
             live = self._backlogs.items()
             self._heads = [(backlog.start, backlog.order, caller) for caller, backlog in live]
--- a/packages/core/src/carobspool_core/_limits.py
+++ b/packages/core/src/carobspool_core/_limits.py
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Grant:
-    """Limits charged for an admitted request, to be released when the request ends."""
+    """The charge for an admitted request, to be released when the request ends."""
 
     subjects: tuple[Subject, ...]
     cost_tokens: int
@@ -82,7 +82,7 @@
         """
         accounts = {
             subject: self._account_for(subject, limits, now)
-            for subject, limits in _subjects(caller, organisation)
+            for subject, limits in _limited_subjects(caller, organisation)
         }
         for account in accounts.values():
             account.offered += 1
@@ -112,9 +112,10 @@
             account.tokens.refund(grant.cost_tokens - used_tokens)
 
     def measure_demand(self, now: Millis) -> DemandReport:
-        """Return this entry's demand, to be sent to the other entries about once a second.
+        """Measure and return this entry's demand, for a report to the other entries.
 
-        Also measures the demand, drops expired reports and idle accounts, and updates the shares.
+        Call this method about once a second. It also drops expired reports and idle accounts, and
+        updates the shares.
         """
         missing = self._peers.missing
         self._peers.expire(now)
@@ -196,12 +197,12 @@
 
     def _reportable_demand(self, account: Account) -> Demand:
         limits = account.limits
-        part = _MIN_REPORTED_FRACTION / self._peers.entries
+        min_fraction = _MIN_REPORTED_FRACTION / self._peers.entries
         demand = account.demand
         if (
-            demand.requests > part * (limits.requests_per_minute or math.inf)
-            or demand.tokens > part * (limits.tokens_per_minute or math.inf)
-            or demand.concurrent > part * (limits.concurrent or math.inf)
+            demand.requests > min_fraction * (limits.requests_per_minute or math.inf)
+            or demand.tokens > min_fraction * (limits.tokens_per_minute or math.inf)
+            or demand.concurrent > min_fraction * (limits.concurrent or math.inf)
         ):
             return demand
         return NO_DEMAND
@@ -211,7 +212,7 @@
     """Return the limiter of one entry.
 
     Args:
-        clock: Read once, at the start of the first measurement.
+        clock: Read once, for the start of the first measurement.
         entry: Name of the entry, as in the lists passed to `Limiter.set_live_entries`.
 
     Since 0.1.
@@ -219,7 +220,7 @@
     return Limiter(clock, entry)
 
 
-def _subjects(caller: Caller, organisation: Organisation) -> list[tuple[Subject, Limits]]:
+def _limited_subjects(caller: Caller, organisation: Organisation) -> list[tuple[Subject, Limits]]:
     unlimited = Limits()
     candidates = [
         (Subject(SubjectKind.CALLER, caller.id), caller.limits),
--- a/packages/core/src/carobspool_core/_load_reports.py
+++ b/packages/core/src/carobspool_core/_load_reports.py
@@ -21,7 +21,7 @@
 
 LOAD_BANDS = 8
 """Number of bands into which the ratio of requests to slots is divided. Becoming full or no longer
-full always counts as a change."""
+full also counts as a change, and so does a change in the bit length of the batch credits."""
 MIN_REPORT_INTERVAL: Millis = 20.0
 """About an eighth of a burst's requests arrives in this time; reports lag by 10 ms anyway."""
 
@@ -39,7 +39,7 @@
 
 
 class LoadReporter:
-    """Remembers the last load report of one sidecar and decides when the next is due.
+    """Stores the last load report of one sidecar and decides when the next is due.
 
     Since 0.1.
     """
@@ -79,13 +79,14 @@
 
 
 def _load_band(load: Load) -> tuple[int, bool, int]:
+    """Return the band of the load, whether a slot is free, and the bit length of the credits."""
     requests = load.running + load.queued
     slots = max(1, load.slots)
     return requests * LOAD_BANDS // slots, requests < slots, load.batch_credits.bit_length()
 
 
 def make_load_reporter() -> LoadReporter:
-    """Return the state of a sidecar that has not sent a report yet.
+    """Return a reporter that has not sent a report yet.
 
     Since 0.1.
     """
--- a/packages/core/src/carobspool_core/_model_loads.py
+++ b/packages/core/src/carobspool_core/_model_loads.py
@@ -33,8 +33,8 @@
     """Return the orders that can be issued now.
 
     A model that is still declared for some upstream never loses its last ready upstream. When two
-    models could only be exchanged in that way, no order is issued for either, and
-    `blocked_model_loads` names their upstreams.
+    models could replace each other only by breaking this rule, no order is issued for either model,
+    and `blocked_model_loads` returns the hosts of their upstreams.
 
     Args:
         upstreams: Declared and actual models of all engines.
@@ -45,8 +45,8 @@
     """
     state = FleetState(upstreams)
     orders = _plan_unloads(state)
-    freed = {order.host for order in orders}
-    orders.extend(_plan_loads(state, freed, weight_bytes, limits))
+    unloading_hosts = {order.host for order in orders}
+    orders.extend(_plan_loads(state, unloading_hosts, weight_bytes, limits))
     return orders
 
 
@@ -59,7 +59,9 @@
     Since 0.1.
     """
     return sorted(
-        upstream.host for upstream in upstreams if _missing(upstream) and not _has_room(upstream)
+        upstream.host
+        for upstream in upstreams
+        if _missing(upstream) and not _has_memory_for_model(upstream)
     )
 
 
@@ -73,7 +75,7 @@
             continue
         removable = [version for version in unwanted if state.is_redundant(upstream, version)]
         if removable:
-            orders.append(_order(upstream, LoadOrderKind.UNLOAD, removable[0]))
+            orders.append(_make_order(upstream, LoadOrderKind.UNLOAD, removable[0]))
             continue
         key = (unwanted[0].model, upstream.failure_domain)
         groups.setdefault(key, []).append((upstream, unwanted[0]))
@@ -94,7 +96,7 @@
             continue
         upstream, unwanted = candidates.pop()
         state.record_unload(upstream, key[0])
-        orders.append(_order(upstream, LoadOrderKind.UNLOAD, unwanted))
+        orders.append(_make_order(upstream, LoadOrderKind.UNLOAD, unwanted))
     return orders
 
 
@@ -106,7 +108,7 @@
     """
     counts: dict[str, int] = {}
     for upstream in state.upstreams:
-        if not upstream.loading and not _has_room(upstream):
+        if not upstream.loading and not _has_memory_for_model(upstream):
             continue
         ready = {version.model for version in upstream.ready}
         for model in {version.model for version in upstream.declared} - ready:
@@ -116,7 +118,7 @@
 
 def _plan_loads(
     state: FleetState,
-    freed: set[str],
+    unloading_hosts: set[str],
     weight_bytes: Mapping[str, int],
     limits: WeightStoreLimits,
 ) -> list[LoadOrder]:
@@ -126,7 +128,7 @@
         for upstream in state.upstreams
         for version in upstream.loading
     ]
-    candidates = _load_candidates(state, freed)
+    candidates = _load_candidates(state, unloading_hosts)
     loading = _loading_by_domain(state)
     while candidates:
         upstream, wanted = min(candidates, key=_load_priority(state, loading))
@@ -137,7 +139,7 @@
         sizes.append(size)
         key = (wanted.model, upstream.failure_domain)
         loading[key] = loading.get(key, 0) + 1
-        orders.append(_order(upstream, LoadOrderKind.LOAD, wanted))
+        orders.append(_make_order(upstream, LoadOrderKind.LOAD, wanted))
         candidates = [candidate for candidate in candidates if candidate[0] is not upstream]
     return orders
 
@@ -152,12 +154,16 @@
     return loading
 
 
-def _load_candidates(state: FleetState, freed: set[str]) -> list[Candidate]:
+def _load_candidates(state: FleetState, unloading_hosts: set[str]) -> list[Candidate]:
     candidates: list[Candidate] = []
     for upstream in state.upstreams:
         # Orders to one upstream are serial: a load is planned only after the upstream's state shows
         # that the unload is complete.
-        if upstream.loading or upstream.host in freed or not _has_room(upstream):
+        if (
+            upstream.loading
+            or upstream.host in unloading_hosts
+            or not _has_memory_for_model(upstream)
+        ):
             continue
         candidates.extend((upstream, wanted) for wanted in _missing(upstream))
     return candidates
@@ -168,8 +174,9 @@
 ) -> Callable[[Candidate], tuple[bool, float, int, str, str, ModelVersion]]:
     """Return a sort key for loads; the smallest key is loaded first.
 
-    Models that no upstream serves come first, then the models with the smallest ready fraction of
-    their declared upstreams, then the failure domains with the fewest ready or loading upstreams.
+    Models that are neither ready nor loading anywhere come first, then the models that are ready or
+    loading at the smallest fraction of their declared upstreams, then the failure domains with the
+    fewest ready or loading upstreams.
     """
 
     def key(candidate: Candidate) -> tuple[bool, float, int, str, str, ModelVersion]:
@@ -201,15 +208,15 @@
 def _unwanted(upstream: UpstreamModels) -> list[ModelVersion]:
     """Return the ready models to unload; an old version stays while the new one fits beside it."""
     extra = sorted(upstream.ready - upstream.declared)
-    if not _has_room(upstream):
+    if not _has_memory_for_model(upstream):
         return extra
     missing = {version.model for version in _missing(upstream)}
     return [version for version in extra if version.model not in missing]
 
 
-def _has_room(upstream: UpstreamModels) -> bool:
+def _has_memory_for_model(upstream: UpstreamModels) -> bool:
     return len(upstream.ready) + len(upstream.loading) < upstream.max_models
 
 
-def _order(upstream: UpstreamModels, kind: LoadOrderKind, version: ModelVersion) -> LoadOrder:
+def _make_order(upstream: UpstreamModels, kind: LoadOrderKind, version: ModelVersion) -> LoadOrder:
     return LoadOrder(host=upstream.host, kind=kind, model=version.model, version=version.version)
--- a/packages/core/src/carobspool_core/_pacing.py
+++ b/packages/core/src/carobspool_core/_pacing.py
@@ -167,6 +167,7 @@
         return [self.burst_end(), self._no_prompt_until]
 
     def _between_tokens_limit(self) -> Millis | None:
+        """Return the longest time between tokens within the limit; ``None`` without a baseline."""
         baseline = self._interference.between_tokens_baseline()
         if baseline is None:
             return None
--- a/packages/core/src/carobspool_core/_preemption_choice.py
+++ b/packages/core/src/carobspool_core/_preemption_choice.py
@@ -16,10 +16,10 @@
 def choose_victim(streams: Iterable[Stream], *, keep_kv: bool) -> Stream | None:
     """Return the batch stream whose preemption costs least, or ``None`` when there is none.
 
-    Streams in prefill are preempted first, the newest before the others: an engine computes prompts
-    in order, so the newest has the least work to lose. Among decoding streams the least often
-    preempted comes first, so that no stream is cancelled repeatedly, and among those the one that
-    is cheapest to resume. If the KV cache is lost, only the cost of resuming counts.
+    Streams in prefill are preempted first, the newest first: an engine computes prompts in order,
+    so the newest has the least work to lose. Among decoding streams the least often preempted comes
+    first, so that no stream is cancelled repeatedly, and among equally often preempted streams the
+    stream that is cheapest to resume. If the KV cache is lost, only the cost of resuming counts.
 
     Args:
         streams: All streams at the upstream.
@@ -41,7 +41,7 @@
 def _preemption_cost(stream: Stream, *, keep_kv: bool) -> tuple[float, ...]:
     if stream.is_prefilling:
         return (0.0, -stream.started_at)
-    held = stream.work.prompt_tokens + stream.tokens
+    computed_tokens = stream.work.prompt_tokens + stream.tokens
     if keep_kv:
-        return (1.0, stream.preemptions, held)
-    return (1.0, held)
+        return (1.0, stream.preemptions, computed_tokens)
+    return (1.0, computed_tokens)
--- a/packages/core/src/carobspool_core/_retry.py
+++ b/packages/core/src/carobspool_core/_retry.py
@@ -96,6 +96,8 @@
     ) -> bool:
         """Return whether to retry, and consume one retry of the budget if so.
 
+        An overload refusal is counted in either case.
+
         Args:
             failure: How the attempt ended.
             idempotent: Whether running the request twice is harmless.
@@ -122,12 +124,14 @@
         """Return the delay before the retry that follows ``attempt``.
 
         The whole delay is random (full jitter): equal delays would send all requests of a lost
-        upstream to the others at the same time.
+        upstream to the other upstreams at the same time.
         """
         return rng.random() * self._max_delay(attempt)
 
     def retry_after(self, failure: Failure, rng: Random) -> Millis | None:
-        """Return when a caller may retry after its final failure, ``None`` if that is pointless.
+        """Return the delay after which a caller may retry its finally failed request.
+
+        ``None`` if the failure has no ``retry_after_ms``.
 
         The failure's ``retry_after_ms`` is doubled while the pool is overloaded, and multiplied by
         a random factor of 1 to 1.5.
--- a/packages/core/src/carobspool_core/_routing.py
+++ b/packages/core/src/carobspool_core/_routing.py
@@ -70,10 +70,10 @@
 
     def set_upstreams(self, targets: Sequence[DeclaredUpstream]) -> None:
         """Replace the declared upstreams and keep the state of those that remain."""
-        known = self._upstreams
+        previous = self._upstreams
         self._upstreams = {}
         for declared in targets:
-            upstream = known.get(declared.host)
+            upstream = previous.get(declared.host)
             if upstream is None:
                 upstream = PooledUpstream(declared, lag_correction=self._settings.lag_correction)
             upstream.declared = declared
@@ -89,7 +89,7 @@
         upstream.apply_load_report(load, now)
 
     def mark_lost(self, host: str, now: Millis) -> None:
-        """Mark a silent host as lost; it receives no requests."""
+        """Mark a silent host as lost and discard its health data; it receives no requests."""
         upstream = self._upstreams.get(host)
         if upstream is None:
             return
@@ -107,7 +107,7 @@
         upstream.mark_pools_stale()
 
     def set_leaving(self, host: str, leaving: bool = True) -> None:
-        """Mark a host as leaving; it receives no requests, whatever its reports say.
+        """Mark a host as leaving; it receives no requests, even if it reports that it is ready.
 
         The mark expires after `LEAVING_MARK_TTL`. Renew it for as long as the host is drained.
 
@@ -220,7 +220,7 @@
         if upstream is None:
             return
         flight = upstream.end(id)
-        # Failures of a lost upstream say nothing about the process that will replace it.
+        # Failures of a lost upstream do not count against the process that will replace it.
         if flight is None or flight.priority is not Priority.ONLINE or upstream.lost:
             return
         pool = self._pools.get(flight.target)
@@ -231,14 +231,14 @@
             pool.is_stale = True
 
     def _rebuild_pools(self) -> None:
-        known = self._pools
+        previous = self._pools
         self._pools = {}
         for upstream in self._upstreams.values():
             upstream.pools = []
             for name in upstream.declared.targets:
                 pool = self._pools.get(name)
                 if pool is None:
-                    pool = self._pools[name] = known.get(name) or Pool(name)
+                    pool = self._pools[name] = previous.get(name) or Pool(name)
                     pool.members = []
                     pool.is_stale = True
                 pool.members.append(upstream)
@@ -293,8 +293,9 @@
 
 
 def _expire_leaving_mark(upstream: PooledUpstream, now: Millis) -> None:
-    # A host may be replaced under the same name while the message that it is back is lost. Without
-    # expiry the new host would never be used. A host that is still leaving says so in its reports.
+    # A host may be replaced under the same name while the message that removes the mark is lost.
+    # Without expiry the new host would never be used. A host that is still leaving reports this
+    # state itself.
     if upstream.leaving_until is None or now < upstream.leaving_until:
         return
     upstream.leaving_until = None
--- a/packages/core/src/carobspool_core/_selection.py
+++ b/packages/core/src/carobspool_core/_selection.py
@@ -24,7 +24,7 @@
 
 def candidates_for(pool: Pool, request: RouteRequest) -> Sequence[PooledUpstream]:
     """Return the upstreams that may take a request; `Pool.active` itself if all of them may."""
-    # If all others are lost or were tried, an ejected upstream is better than a refusal.
+    # If all other upstreams are lost or were tried, an ejected upstream is better than a refusal.
     return _eligible(pool.active, request) or _eligible(pool.usable, request)
 
 
@@ -114,7 +114,8 @@
     """Return whether a preferred upstream may take another request of ``cost_tokens``."""
     if upstream.estimate.requests < upstream.declared.slots * settings.affinity_free_share:
         return True
-    # A warm cache saves part of the prompt's cost; waiting for a slot takes a whole answer.
+    # A warm cache saves part of the prompt's cost; waiting for a slot takes as long as a
+    # whole answer.
     if settings.free_slot_first and not upstream.has_free_slot:
         return False
     tokens = upstream.estimate.tokens + cost_tokens
@@ -138,7 +139,8 @@
 def is_full(upstream: PooledUpstream, settings: RoutingSettings) -> bool:
     """Return whether an upstream counts as having no free slot.
 
-    An upstream that runs a suspect counts as full, so that a crash affects few other requests.
+    An upstream that runs a suspect counts as full, so that a crash affects few other requests. With
+    ``free_slot_first`` off, no other upstream counts as full.
     """
     if upstream.estimate.suspects:
         return True
--- a/packages/core/src/carobspool_core/_shares.py
+++ b/packages/core/src/carobspool_core/_shares.py
@@ -1,8 +1,9 @@
 """Division of a limit among the entries that enforce it together.
 
 Load pattern: a caller sends all requests to one entry, or spreads them over all entries, and
-switches between the two. Fixed equal shares would hold the first to a fraction of its limit;
-without shares, the second would get its limit once per entry.
+switches between the two. Fixed equal shares would admit only a fraction of the limit while one
+entry receives all requests; without shares, a caller that uses all entries would get its limit once
+per entry.
 
 Each entry reports its demand to the others about once a second. While the total demand is below
 the limit, the share of each entry is its own demand plus an equal part of the rest, so a caller
@@ -24,7 +25,7 @@
 from carobspool_core._clock import Millis
 
 _REPORT_LIFETIME: Millis = 3_500.0
-"""Validity of a report: three and a half report intervals, so that two lost ones have no effect."""
+"""Validity of a report: three and a half report intervals, so that two lost reports do no harm."""
 
 _SPARE_FRACTION = 0.05
 """Fraction of a fully used limit that is divided equally, so that an entry without demand so far
@@ -200,7 +201,7 @@
     demand = own + sum(other.concurrent for other in others)
     own_share = _exact_share(total, own, demand, reporting)
     peer_shares = [_exact_share(total, other.concurrent, demand, reporting) for other in others]
-    left = total - int(own_share) - sum(int(peer_share) for peer_share in peer_shares)
+    units_left = total - int(own_share) - sum(int(peer_share) for peer_share in peer_shares)
     fraction = own_share - int(own_share)
     ahead = sum(
         1
@@ -211,7 +212,7 @@
         max(0, other.in_flight - math.ceil(peer_share))
         for other, peer_share in zip(others, peer_shares, strict=True)
     )
-    return max(0, int(own_share) + int(ahead < left) - excess)
+    return max(0, int(own_share) + int(ahead < units_left) - excess)
 
 
 def _exact_share(total: int, own: float, demand: float, reporting: int) -> float:
--- a/packages/core/src/carobspool_core/_slot_allocator.py
+++ b/packages/core/src/carobspool_core/_slot_allocator.py
@@ -19,10 +19,10 @@
 from carobspool_core._work import AdmissionMode, AdmissionSettings
 
 _ONLINE_PRESENCE: Millis = 200.0
-"""Time after the last online request during which online requests still count as present. Without
-it, each of a series of short requests would cancel and resume the batch streams of the whole
-engine. About ten steps bridge the gaps between such requests and delay batch work only once after a
-burst."""
+"""Time after the end of an online request during which online requests still count as present.
+Without it, each of a series of short requests would cancel and resume the batch streams of the
+whole engine. About ten steps bridge the gaps between such requests and delay batch work only once
+after a burst."""
 
 
 class SlotAllocator:
@@ -56,7 +56,10 @@
         self._pacer = pacer
 
     def decide(self, now: Millis) -> tuple[tuple[RequestId, ...], tuple[RequestId, ...]]:
-        """Return the requests to start and the streams to preempt."""
+        """Return the requests to start and the streams to preempt.
+
+        Also removes the started requests from their queues and updates the streams.
+        """
         self._started = []
         self._preempted = []
         self._start_suspect(now)
--- a/packages/core/src/carobspool_core/_suspect_gate.py
+++ b/packages/core/src/carobspool_core/_suspect_gate.py
@@ -2,8 +2,8 @@
 
 Load pattern: an upstream with many requests in flight crashes, all of them become suspects, and all
 entries retry theirs at once. Entries learn of each other's suspects with a delay, so two entries
-may send suspects to the same upstream. If one of these crashes the upstream, both would count as
-culprits. The sidecar sees all requests of its upstream, so its decision has no delay.
+may send suspects to the same upstream. If one of the two crashes the upstream, both would count
+as culprits. The sidecar sees all requests of its upstream, so its decision has no delay.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from carobspool_core._outcome import Failure, unavailable
 
 GATE_RETRY_AFTER: Millis = 1_000.0
-"""Retry delay while another suspect runs here. Another upstream may be free at once."""
+"""Retry delay while another suspect runs here. Another upstream may accept the request at once."""
 
 
 class SuspectGate:
--- a/packages/core/src/carobspool_core/_suspect_queue.py
+++ b/packages/core/src/carobspool_core/_suspect_queue.py
@@ -1,9 +1,9 @@
 """Queue of the requests suspected of crashing upstreams, which run one at a time.
 
 Load pattern: a request crashes each upstream that runs it, and its caller resends it. If two
-suspects ran at the same upstream, a crash would not tell which of them caused it, and the innocent
-one would be quarantined too. With one suspect at a time, the suspect that runs at two crashes is
-the culprit.
+suspects ran at the same upstream, a crash would not show which of them caused it, and the innocent
+request would be quarantined too. With one suspect at a time, the suspect that was running at both
+crashes is the culprit.
 """
 
 from __future__ import annotations
@@ -69,10 +69,10 @@
 
     def expire(self, now: Millis) -> list[QueuedRequest]:
         """Remove and return all suspects whose deadline has passed."""
-        late = [entry for entry in self._waiting.values() if entry.work.deadline < now]
-        for waiting in late:
+        expired = [entry for entry in self._waiting.values() if entry.work.deadline < now]
+        for waiting in expired:
             del self._waiting[waiting.work.id]
-        return late
+        return expired
 
     def next_expiry(self) -> Millis | None:
         """Return the earliest deadline, or ``None`` if no suspect is queued."""
--- a/packages/core/src/carobspool_core/_suspects.py
+++ b/packages/core/src/carobspool_core/_suspects.py
@@ -115,12 +115,16 @@
         return self._set_claim(fingerprint, record, now, timeout)
 
     def release(self, fingerprint: str, holder: str, now: Millis) -> SuspectUpdate | None:
-        """End a claim after a run that neither completed nor crashed its upstream."""
+        """End a claim after a run that neither completed nor crashed its upstream.
+
+        Returns:
+            The change to write and to send, or ``None`` if ``holder`` has no claim.
+        """
         record = self._unexpired_record(fingerprint, now)
         if record is None or record.holder != holder:
             return None
         record.held_until = now
-        return self._change(fingerprint, record, now)
+        return self._make_update(fingerprint, record, now)
 
     def hosts_running_suspects(self, now: Millis) -> frozenset[str]:
         """Return the hosts that run a suspect, which other suspects must avoid."""
@@ -153,35 +157,38 @@
                 continue
             record.crashes.add(name)
             record.held_until = now
-            changes.append(self._change(fingerprint, record, now))
+            changes.append(self._make_update(fingerprint, record, now))
         return changes
 
     def record_completion(self, fingerprint: str, now: Millis) -> SuspectUpdate | None:
         """Clear a suspect that completed; a quarantined request stays quarantined.
 
         Returns:
-            The change to send, or ``None`` if the request was not a suspect.
+            The change to send, or ``None`` if the request was not a suspect or is quarantined.
         """
         record = self._unexpired_record(fingerprint, now)
         if record is None or not 0 < record.evidence < CRASHES_TO_QUARANTINE:
             return None
         record.cleared |= record.crashes
         record.held_until = now
-        return self._change(fingerprint, record, now)
+        return self._make_update(fingerprint, record, now)
 
     def merge(self, fingerprint: str, values: Mapping[str, str], now: Millis) -> None:
         """Merge the values of another entry's hint or of the fingerprint's object."""
         record = self._refresh_or_create(fingerprint, now)
-        known = record.evidence
+        evidence_before = record.evidence
         record.crashes |= _split_ids(values.get("crashes", ""))
         record.cleared |= _split_ids(values.get("cleared", ""))
-        if record.evidence != known:
+        if record.evidence != evidence_before:
             record.held_until = now
         self._merge_claim(record, values, now)
 
     def current_state(self, fingerprint: str, now: Millis) -> SuspectUpdate:
-        """Return a fingerprint's state in the form that is written and sent."""
-        return self._change(fingerprint, self._refresh_or_create(fingerprint, now), now)
+        """Return a fingerprint's state in the form that is written and sent.
+
+        Creates the record if there is none, and restarts its retention time.
+        """
+        return self._make_update(fingerprint, self._refresh_or_create(fingerprint, now), now)
 
     def remove_expired(self, now: Millis) -> None:
         """Remove expired records; call this method periodically."""
@@ -199,7 +206,7 @@
         self._claim_count += 1
         record.claim = f"{record.holder}#{self._claim_count}"
         record.held_until = now + timeout + CLAIM_MARGIN
-        return self._change(fingerprint, record, now)
+        return self._make_update(fingerprint, record, now)
 
     def _merge_claim(self, record: SuspectRecord, values: Mapping[str, str], now: Millis) -> None:
         claim = values.get("claim", "")
@@ -234,10 +241,10 @@
         record.changed = now
         self._records.move_to_end(fingerprint)
         if len(self._records) > MAX_RECORDS:
-            self._evict_one(fingerprint)
+            self._evict_record_except(fingerprint)
         return record
 
-    def _evict_one(self, kept: str) -> None:
+    def _evict_record_except(self, kept: str) -> None:
         # Evicts the oldest suspect first. Evicting a quarantined record would let a known culprit
         # crash two more upstreams; an evicted suspect costs at most one.
         for fingerprint, record in self._records.items():
@@ -246,7 +253,7 @@
                 return
         self._records.popitem(last=False)
 
-    def _change(self, fingerprint: str, record: SuspectRecord, now: Millis) -> SuspectUpdate:
+    def _make_update(self, fingerprint: str, record: SuspectRecord, now: Millis) -> SuspectUpdate:
         values = {"crashes": " ".join(sorted(record.crashes))}
         if record.cleared:
             values["cleared"] = " ".join(sorted(record.cleared))
@@ -260,7 +267,7 @@
 
 
 def make_suspect_table(clock: Clock) -> SuspectTable:
-    """Return the state of an entry that knows no suspects.
+    """Return an empty table of suspects.
 
     Since 0.1.
     """
