--- a/packages/core/src/carobspool_core/_account.py
+++ b/packages/core/src/carobspool_core/_account.py
@@ -12,15 +12,28 @@
 from carobspool_core._shares import NO_DEMAND, Demand
 
 _DEMAND_TIME_CONSTANT: Millis = 5_000.0
-"""Time constant of the demand average: five report intervals. A shorter one follows random single
-arrivals; a longer one keeps a share at an entry to which the caller no longer sends."""
+"""Time constant of the demand average: five report intervals. A shorter time follows random single
+arrivals; a longer time leaves a share at an entry to which the caller no longer sends."""
 
 _CONCURRENT_RETRY_DELAY: Millis = 1_000.0
 """Retry delay for a caller at its concurrency limit: about the duration of an answer."""
 
 
 class Account:
-    """Usage of one subject at one entry, and the entry's share of the subject's limits."""
+    """Usage of one subject at one entry, and the entry's share of the subject's limits.
+
+    Attributes:
+        limits: Declared limits of the subject.
+        requests: Bucket of this entry's share of the requests per minute.
+        tokens: Bucket of this entry's share of the tokens per minute.
+        concurrent: This entry's share of the limit on concurrent requests.
+        in_flight: Number of admitted requests that have not ended.
+        offered: Requests since the last update of the demand, admitted or not.
+        offered_tokens: Estimated tokens of the offered requests.
+        refused: Requests since that update that were refused by the limit on concurrent requests.
+        demand: Average demand at this entry.
+        reported: Demand as last reported to the other entries.
+    """
 
     __slots__ = (
         "concurrent",
--- a/packages/core/src/carobspool_core/_batchqueue.py
+++ b/packages/core/src/carobspool_core/_batchqueue.py
@@ -1,4 +1,4 @@
-"""Queue of batch requests at the sidecar: preempted requests first, then new ones.
+"""Queue of batch requests at the sidecar: preempted requests first, then new requests.
 
 Load pattern: online bursts preempt batch streams many times an hour. Queued at the back, a
 preempted request would wait behind the whole backlog while the upstream holds its KV cache, and
@@ -28,7 +28,8 @@
         work: The request as offered.
         submitted_at: When the request was submitted.
         tokens: Number of answer tokens received so far.
-        kv_kept: Whether the upstream keeps its KV cache, so that resuming it needs no prefill.
+        kv_kept: Whether the upstream keeps the request's KV cache, so that resuming the request
+            needs no prefill.
         preemptions: How often the request was preempted.
     """
 
--- a/packages/core/src/carobspool_core/_chunks.py
+++ b/packages/core/src/carobspool_core/_chunks.py
@@ -140,7 +140,7 @@
 
     The previous holder may have started any non-idempotent item that it had declared. Declared
     items without a result become ``abandoned``: their outcome is unknown and they are never run
-    again.
+    again. A claim by the current holder changes nothing.
 
     Args:
         state: The stored state; ``None`` if the chunk was never claimed.
@@ -171,7 +171,10 @@
 def declare_intents(
     state: ChunkState, holder: ChunkHolder, spans: Spans
 ) -> Result[ChunkState, ChunkRefusal]:
-    """Record that the holder is about to start non-idempotent items."""
+    """Record that the holder is about to start non-idempotent items.
+
+    Refused as ``ALREADY_FINISHED`` if an item has a result, is abandoned or was declared before.
+    """
     if refusal := _refusal(state, holder):
         return Failure(refusal)
     unavailable = union_spans(finished_items(state), union_spans(state.intents, state.abandoned))
@@ -192,7 +195,7 @@
 def commit_part(
     state: ChunkState, holder: ChunkHolder, part: ResultPart
 ) -> Result[ChunkState, ChunkRefusal]:
-    """Add results; the chunk is done when every item has one."""
+    """Add results; the chunk is done when every item has a result."""
     if refusal := _refusal(state, holder):
         return Failure(refusal)
     if spans_overlap(part.spans, finished_items(state)):
--- a/packages/core/src/carobspool_core/_config.py
+++ b/packages/core/src/carobspool_core/_config.py
@@ -151,7 +151,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class OnlineSlowdown:
-    """How much batch work may slow down online requests, relative to the baseline without it.
+    """How much batch work may slow online requests, relative to the baseline without batch work.
 
     Attributes:
         first_token: Allowed ratio of the 95th percentile of the time to the first token.
@@ -170,7 +170,7 @@
     """The complete declared configuration, versioned as a whole.
 
     Attributes:
-        revision: Number of the revision; 0 before the first one.
+        revision: Number of the revision; 0 before the first revision.
     """
 
     revision: int = 0
--- a/packages/core/src/carobspool_core/_ejection.py
+++ b/packages/core/src/carobspool_core/_ejection.py
@@ -32,8 +32,8 @@
 MIN_SAMPLES = 8
 """With five samples an upstream was ejected by chance within 10 s of a start."""
 MIN_HUNG_WAIT: Millis = 2_000.0
-"""An upstream hangs if two requests wait longer than this and longer than three times the slowness
-threshold: a prompt of 8,000 tokens takes under a second."""
+"""An upstream counts as hung if two requests wait longer than this time and longer than three times
+the slowness threshold: a prompt of 8,000 tokens takes under a second."""
 MAX_CONSECUTIVE_FAILURES = 5
 FIRST_EJECTION_TIME: Millis = 5_000.0
 MAX_EJECTION_TIME: Millis = 60_000.0
@@ -48,7 +48,7 @@
     failures: int = 0
     ejections: int = 0
     ejected_until: Millis | None = None
-    good_probes: int = 0
+    successful_probes: int = 0
     probe: Hashable | None = None
     probe_first_token: Millis | None = None
     waiting: dict[Hashable, Millis] = field(default_factory=dict)
@@ -188,21 +188,21 @@
         return max(MIN_SLOW_THRESHOLD, SLOW_RATIO * self._median)
 
     def _pool_median(self) -> Millis | None:
-        known = [
+        medians = [
             each.median_first_token
             for each in self._health.values()
             if each.median_first_token is not None
         ]
-        if len(known) < 2:
+        if len(medians) < 2:
             return None
-        return median(known)
+        return median(medians)
 
     def _eject(self, host: str, health: _Health, now: Millis, pool_size: int) -> bool:
         if len(self._ejected) + 1 > int(pool_size * MAX_EJECTED_SHARE):
             return False
         self._ejected[host] = None
         health.ejections += 1
-        health.good_probes = 0
+        health.successful_probes = 0
         health.probe = None
         health.ejected_until = now + _ejection_time(health.ejections)
         return True
@@ -214,11 +214,11 @@
         slow = threshold is not None and first_token is not None and first_token > threshold
         if not ok or slow:
             health.ejections += 1
-            health.good_probes = 0
+            health.successful_probes = 0
             health.ejected_until = now + _ejection_time(health.ejections)
             return False
-        health.good_probes += 1
-        if health.good_probes < PROBES_TO_RETURN:
+        health.successful_probes += 1
+        if health.successful_probes < PROBES_TO_RETURN:
             return False
         del self._ejected[host]
         health.ejected_until = None
--- a/packages/core/src/carobspool_core/_failure_detector.py
+++ b/packages/core/src/carobspool_core/_failure_detector.py
@@ -1,7 +1,7 @@
 """Failure detection: which connected hosts are alive, as seen by one process.
 
 Load pattern: hosts stop responding without notice while requests keep arriving. Without a timeout
-each of them holds its share of the requests until the callers' deadlines.
+each silent host holds its share of the requests until the callers' deadlines.
 
 At small sites a heartbeat is sent each second, so a silent host is marked lost within 3 to 4 s. An
 entry of a large fleet has 7 models x 24 sidecars = 168 connections. A heartbeat of 60 bytes a
@@ -120,7 +120,7 @@
 def make_failure_detector(
     clock: Clock, interval: Callable[[int], Millis] = heartbeat_interval
 ) -> FailureDetector:
-    """Return the state of a process that monitors no host yet.
+    """Return a detector that monitors no host yet.
 
     Since 0.1.
     """
--- a/packages/core/src/carobspool_core/_gossip.py
+++ b/packages/core/src/carobspool_core/_gossip.py
@@ -2,7 +2,7 @@
 
 Load pattern: information that every one of 380 entries should have within a second (a suspect, a
 leaving host, a new revision) while many hosts fail together. If the origin sent a hint to all
-entries, that hint would cost it 380 messages. Without a record of seen hints, hints would circulate
+entries, one hint would cost 380 messages. Without a record of seen hints, hints would circulate
 for ever.
 
 Each entry connects to the next entry on a ring of digests, which keeps the graph connected, and to
@@ -112,7 +112,7 @@
         return self._dropped
 
     def record_if_new(self, hint: Hint) -> bool:
-        """Return whether a hint is seen for the first time, and remember it.
+        """Return whether a hint is seen for the first time, and record it as seen.
 
         An origin that restarts must use a new name or continue with higher sequence numbers;
         otherwise its hints count as seen.
@@ -156,7 +156,7 @@
 
 
 def make_gossip(clock: Clock, rng: Random) -> Gossip:
-    """Return the state of an entry that has seen no hint.
+    """Return the gossip state of an entry that has seen no hint.
 
     Since 0.1.
     """
--- a/packages/core/src/carobspool_core/_item_retry.py
+++ b/packages/core/src/carobspool_core/_item_retry.py
@@ -1,4 +1,4 @@
-"""Decides whether a batch item is retried after an attempt or the outcome is its result."""
+"""Decides whether an attempt of a batch item is retried or its outcome is the item's result."""
 
 from __future__ import annotations
 
--- a/packages/core/src/carobspool_core/_jobs.py
+++ b/packages/core/src/carobspool_core/_jobs.py
@@ -175,6 +175,9 @@
 ) -> Result[Job, JobRefusal]:
     """End a job; refused while one of its chunks is not done.
 
+    The job ends as cancelled if it was being cancelled or if an item has no result, otherwise as
+    completed.
+
     Args:
         job: The stored job.
         counts: Results summed over all chunks.
--- a/packages/core/src/carobspool_core/_leases.py
+++ b/packages/core/src/carobspool_core/_leases.py
@@ -54,8 +54,8 @@
 
     def record_lease(self, *, node: str, incarnation: str, version: int, leaving: bool) -> None:
         """Record a lease that was read or watched; versions that are not newer are ignored."""
-        known = self._leases.get(node)
-        if known is not None and version <= known.version:
+        previous = self._leases.get(node)
+        if previous is not None and version <= previous.version:
             return
         self._leases[node] = NodeLease(
             node=node, incarnation=incarnation, version=version, leaving=leaving
--- a/packages/core/src/carobspool_core/_leastsquares.py
+++ b/packages/core/src/carobspool_core/_leastsquares.py
@@ -16,7 +16,7 @@
 
     Args:
         size: Number of coefficients.
-        forgetting: Factor by which each new sample reduces the weight of earlier ones; at most 1.
+        forgetting: Factor on the weight of all earlier samples with each new sample; at most 1.
     """
 
     def __init__(self, size: int, forgetting: float) -> None:
--- a/packages/core/src/carobspool_core/_messages.py
+++ b/packages/core/src/carobspool_core/_messages.py
@@ -23,7 +23,7 @@
 
 
 class SidecarState(StrEnum):
-    """Whether a sidecar takes new work."""
+    """Whether a sidecar accepts new work."""
 
     READY = "ready"
     LEAVING = "leaving"
@@ -189,7 +189,7 @@
     """A sidecar's load, sent on change and at least at each heartbeat.
 
     Attributes:
-        state: Whether the sidecar takes new work.
+        state: Whether the sidecar accepts new work.
         running: Number of requests running at the upstream.
         queued: Number of requests queued at the sidecar.
         tokens: Estimated tokens of the running and queued requests.
--- a/packages/core/src/carobspool_core/_model_fleet.py
+++ b/packages/core/src/carobspool_core/_model_fleet.py
@@ -77,7 +77,7 @@
 MAX_UNAVAILABLE_SHARE = 0.25
 """Largest part of a model's upstreams that may be unavailable in one step; one upstream is always
 allowed. Routing limits the load of the remaining upstreams to 1.25 times the mean, so a pool with
-that margin can serve it."""
+that margin can serve the load."""
 
 
 Candidate = tuple[UpstreamModels, ModelVersion]
--- a/packages/core/src/carobspool_core/_order_epochs.py
+++ b/packages/core/src/carobspool_core/_order_epochs.py
@@ -3,7 +3,7 @@
 For engines that refuse an old fencing token, the epoch is sufficient. For other engines the lease
 ensures that two holders never send orders at the same time. A holder sends orders only within its
 lease, and the lease starts before the conditional write that confirms it. Once a successor has
-written its own record, the previous holder can't confirm its lease any more. When the previous
+written its own record, the previous holder cannot confirm its lease any more. When the previous
 lease and the longest order have run out, no order sent within that lease can still be in progress.
 """
 
@@ -29,7 +29,7 @@
         holder: Node name of the holder.
         incarnation: Random id of the holder's process.
         lease_ttl: How long the holder's lease lasts after a confirmation, in milliseconds.
-        order_timeout: Longest duration of one of its orders, in milliseconds.
+        order_timeout: Longest duration of one of the holder's orders, in milliseconds.
         released: Whether the holder released the right while none of its orders was in progress.
 
     Since 0.1.
--- a/packages/core/src/carobspool_core/_replay.py
+++ b/packages/core/src/carobspool_core/_replay.py
@@ -92,7 +92,7 @@
         return steps
 
     def _skip_idle(self, until: Millis) -> bool:
-        """Advance to the next arrival, at most to ``until``; return whether it was reached."""
+        """Advance to the next arrival, at most to ``until``; return whether it is due by then."""
         if not self._arrivals:
             self._now = until
             return False
--- a/packages/core/src/carobspool_core/_subsets.py
+++ b/packages/core/src/carobspool_core/_subsets.py
@@ -63,14 +63,14 @@
     def set_members(self, entries: Sequence[str], sidecars: Sequence[str]) -> None:
         """Replace the lists of live entries and of the model's sidecars."""
         added = set(entries) - self._entries
-        gone = set(self._entries.difference(entries))
+        removed = set(self._entries.difference(entries))
         self._entries = frozenset(entries)
         self._encoded_entries = [(entry.encode(), entry) for entry in sorted(self._entries)]
         self._sidecars = sorted(sidecars)
-        known = self._preferences
-        self._preferences = {host: known[host] for host in self._sidecars if host in known}
+        cached = self._preferences
+        self._preferences = {host: cached[host] for host in self._sidecars if host in cached}
         for host, preferred in self._preferences.items():
-            self._preferences[host] = _update_preferences(host, preferred, added, gone)
+            self._preferences[host] = _update_preferences(host, preferred, added, removed)
 
     def sidecars_of(self, entry: str) -> list[str]:
         """Return the sidecars that ``entry`` connects to.
@@ -87,6 +87,7 @@
         return {entry: self._fill(entry, hosts) for entry, hosts in self._assign().items()}
 
     def _fill(self, entry: str, hosts: list[str]) -> list[str]:
+        """Return ``hosts``, filled up to the subset size by the entry's own preference."""
         size = subset_size(len(self._entries), len(self._sidecars))
         if len(hosts) >= size:
             return hosts
@@ -124,8 +125,8 @@
                     continue
                 assigned[entry].append(host)
                 found[host] += 1
-        least = min(len(self._entries), MIN_ENTRIES_PER_SIDECAR)
-        return {host: least - count for host, count in found.items() if count < least}
+        minimum = min(len(self._entries), MIN_ENTRIES_PER_SIDECAR)
+        return {host: minimum - count for host, count in found.items() if count < minimum}
 
     def _assign_beyond_size(self, host: str, count: int, assigned: dict[str, list[str]]) -> None:
         # In the last rounds all entries with subsets that are not full may have this sidecar
@@ -167,9 +168,9 @@
 
 
 def _update_preferences(
-    host: str, preferred: list[tuple[int, str]], added: set[str], gone: set[str]
+    host: str, preferred: list[tuple[int, str]], added: set[str], removed: set[str]
 ) -> list[tuple[int, str]]:
-    kept = [each for each in preferred if each[1] not in gone] if gone else preferred
+    kept = [each for each in preferred if each[1] not in removed] if removed else preferred
     if not added or not kept:
         return kept
     seed = xxh3_64_intdigest(host.encode())
--- a/packages/core/src/carobspool_core/_tickets.py
+++ b/packages/core/src/carobspool_core/_tickets.py
@@ -1,4 +1,4 @@
-"""Entries and bounds of a fair queue."""
+"""Items and bounds of a fair queue."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
     """Bounds of a queue.
 
     Attributes:
-        total: Maximum number of waiting requests. When it is exceeded, the newest request of the
-            heaviest caller is evicted.
+        total: Maximum number of waiting requests. When this number is exceeded, the newest
+            request of the heaviest caller is evicted.
         per_caller: Maximum number of waiting requests of one caller.
     """
 
--- a/packages/core/src/carobspool_core/_work.py
+++ b/packages/core/src/carobspool_core/_work.py
@@ -90,7 +90,7 @@
         start: Requests to send to the upstream; they already count as running.
         preempt: Batch streams to cancel at the upstream.
         refuse: Queued requests to end with a refusal.
-        wake_at: Time of the next decision if no event comes before; ``None`` waits for an event.
+        wake_at: Time of the next decision if no event occurs earlier; ``None`` waits for an event.
     """
 
     start: tuple[RequestId, ...] = ()
--- a/packages/core/src/carobspool_core/problems.py
+++ b/packages/core/src/carobspool_core/problems.py
@@ -21,10 +21,10 @@
 """Longest excerpt of a refused value in an error."""
 
 MAX_PRINTED_INT_BITS = 256
-"""Longest integer that an error prints; of a longer one it gives the length in bits."""
+"""Longest integer that an error prints; a longer integer is described by its length in bits."""
 
 MAX_PROBLEMS_SHOWN = 3
-"""Problems that the error of one record lists; one is enough to find the writer."""
+"""Problems that the error of one record lists; one problem is enough to find the writer."""
 
 SECRET_FIELDS = frozenset({"key_hashes", "api_keys", "order_key", "first_operator_key_hash"})
 """Fields whose values an error never shows, since they may hold a plain key by mistake."""
--- a/packages/core/src/carobspool_core/records/_core_schema.py
+++ b/packages/core/src/carobspool_core/records/_core_schema.py
@@ -134,12 +134,12 @@
 
 
 def _with_bounds(schema: Schema, bounds: Bounds) -> Schema:
-    given = bounds.as_dict()
-    if not given:
+    constraints = bounds.as_dict()
+    if not constraints:
         return schema
     if schema["type"] == "nullable":
         return {**schema, "schema": _with_bounds(schema["schema"], bounds)}
-    return {**schema, **given}
+    return {**schema, **constraints}
 
 
 def _union_schema(annotation: Any) -> Schema:
--- a/packages/core/src/carobspool_core/revision/_delta.py
+++ b/packages/core/src/carobspool_core/revision/_delta.py
@@ -1,4 +1,4 @@
-"""Deltas: a revision sent as its changes to the previous one, to processes that have that one.
+"""Deltas: a revision sent as its changes to the previous one, to processes with that revision.
 
 Sending whole parts costs bandwidth for unchanged entries: with 30,000 organisations, a change of
 one caller would carry 1,900 other entries. A delta carries only the changed entries. The receiver
--- a/packages/core/src/carobspool_core/revision/_diff.py
+++ b/packages/core/src/carobspool_core/revision/_diff.py
@@ -105,7 +105,7 @@
 
 
 def summarise(changes: Sequence[Change]) -> tuple[str, ...]:
-    """Return one line for each change, up to `MAX_SUMMARY_LINES`, and the number of the others.
+    """Return one line for each change, up to `MAX_SUMMARY_LINES`, and the number omitted.
 
     Since 0.1.
     """
--- a/packages/core/src/carobspool_core/revision/_parts.py
+++ b/packages/core/src/carobspool_core/revision/_parts.py
@@ -81,8 +81,8 @@
 
     Args:
         state: The state.
-        previous: Parts of another state; those with equal entries are reused, which avoids encoding
-            and compressing them again.
+        previous: Parts of another state; parts with equal entries are reused, which avoids encoding
+            and compressing these parts again.
 
     Returns:
         The parts by name, or an error for each part that is too large for the platform.
