--- a/packages/core/src/carobspool_core/direct/_placement.py
+++ b/packages/core/src/carobspool_core/direct/_placement.py
@@ -101,7 +101,7 @@
     upstreams: Sequence[Upstream],
     loads: Mapping[str, Load],
     failure_domain: str,
-    queue: Callable[[Upstream], int],
+    queue_limit_of: Callable[[Upstream], int],
     suspects: frozenset[str],
     draw: random.Random,
 ) -> Upstream | None:
@@ -109,7 +109,7 @@
     best_score = float("inf")
     for upstream in upstreams:
         load = loads.get(upstream.identity, NO_LOAD)
-        if load.online >= upstream.slots + queue(upstream):
+        if load.online >= upstream.slots + queue_limit_of(upstream):
             continue
         score = load.online / upstream.slots
         if load.total >= upstream.slots:
